--- a/src/net/clocks.cpp
+++ b/src/common/clocks.cpp
@@ -1,10 +1,10 @@
-// grademux: the clocks; see clocks.h.
-#include "clocks.h"
+// The clocks; see clocks.h.
+#include "common/clocks.h"
 
 #include <chrono>
 #include <fstream>
 
-namespace grademux {
+namespace delivery {
 
 Micros monotonicNow() {
   const auto t = std::chrono::steady_clock::now().time_since_epoch();
@@ -24,4 +24,4 @@
   return c;
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/clocks.h
+++ b/src/common/clocks.h
@@ -1,11 +1,11 @@
-// grademux: the clocks, and the change of points in time between the monotonic clock and the disk.
+// The clocks, and the change of points in time between the monotonic clock and the disk.
 #pragma once
 
 #include <string>
 
-#include "grademux/deadline.h"
+#include "common/deadline.h"
 
-namespace grademux {
+namespace delivery {
 
 Micros monotonicNow();  // a clock that only goes forward, and goes on across processes until a reboot
 Micros unixNow();       // a clock that holds across reboots, and may step
@@ -33,4 +33,4 @@
   Micros shift_ = 0;
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/include/grademux/deadline.h
+++ b/src/common/deadline.h
@@ -1,11 +1,11 @@
-// grademux: the point in time at which a message is given up. A type of its own, so that it is not taken for
+// The point in time at which a message is given up. A type of its own, so that it is not taken for
 // a span or for a time of another clock; all that is done with one never prolongs it.
 #pragma once
 
 #include <algorithm>
 #include <cstdint>
 
-namespace grademux {
+namespace delivery {
 
 using Micros = std::int64_t;  // a point in time or a span, in whole microseconds
 
@@ -28,4 +28,4 @@
   Micros at_ = 0;
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/logic.cpp
+++ b/src/decision/scheduler.cpp
@@ -1,4 +1,4 @@
-// grademux: THE decision module. Its interface stands in include/grademux/sender.h.
+// The decision module. Its interface stands in scheduler.h.
 // The design is RBFQ of "RePAIR" (dual real-time tags). Sections: 1 tags, 2 upper bound, 3 health, 4
 // attempts, 5 admission, 6 membership, then the turn.
 #include <algorithm>
@@ -8,10 +8,10 @@
 #include <set>
 #include <unordered_map>
 
-#include "grademux/sender.h"
-#include "state.h"
+#include "decision/scheduler.h"
+#include "decision/state.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 // ---- Tuned values: ratios and multiples of settings and observations, never absolute times or rates.
@@ -1002,4 +1002,4 @@
   return impl_->decide(now, events);
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/include/grademux/sender.h
+++ b/src/decision/scheduler.h
@@ -1,4 +1,4 @@
-// grademux: the interface of the decision module. Types only: no decision and no tuned value stands here.
+// The interface of the decision module. Types only: no decision and no tuned value stands here.
 // One Sender decides for one sending process. It does no I/O and reads no clock: the host hands it what
 // happened (events) and carries out what it answers (actions).
 #pragma once
@@ -9,9 +9,9 @@
 #include <variant>
 #include <vector>
 
-#include "grademux/deadline.h"
+#include "common/deadline.h"
 
-namespace grademux {
+namespace delivery {
 
 enum class Effect { safe, keyed, unsafe };   // repeat at will, repeat inside group and memory, never twice
 enum class RepeatGroup { all, zone, cell };  // keyed: which endpoints of the destination drop repeats
@@ -186,4 +186,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/state.h
+++ b/src/decision/state.h
@@ -1,4 +1,4 @@
-// grademux: what the decision module remembers, and the check of its settings. No decision stands here.
+// What the decision module remembers, and the check of its settings. No decision stands here.
 #pragma once
 
 #include <cstdint>
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "grademux/sender.h"
+#include "decision/scheduler.h"
 
-namespace grademux {
+namespace delivery {
 
 constexpr double kSecond = 1e6;
 constexpr Micros kNever = INT64_MAX / 4;
@@ -124,4 +124,4 @@
   require(s.cold_share > 0 && s.cold_share <= 1 && s.overload_factor > 0, "cold_share");
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/clients.cpp
+++ b/src/network/client_server.cpp
@@ -1,5 +1,5 @@
-// grademux: the server for clients; see clients.h.
-#include "clients.h"
+// The server for clients; see client_server.h.
+#include "network/client_server.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
@@ -9,11 +9,11 @@
 #include <utility>
 #include <vector>
 
-#include "clocks.h"
-#include "resp.h"
-#include "waiting_since.h"
+#include "common/clocks.h"
+#include "protocol/resp.h"
+#include "network/queue_age.h"
 
-namespace grademux {
+namespace delivery {
 
 namespace asio = boost::asio;
 using asio::ip::tcp;
@@ -382,4 +382,4 @@
   watchDeadlines();
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/clients.h
+++ b/src/network/client_server.h
@@ -1,4 +1,4 @@
-// grademux: the RESP2 server that clients hand messages to: PING and MSG.PUT, each request answered in
+// The RESP2 server that clients hand messages to: PING and MSG.PUT, each request answered in
 // turn. Who is let in, read and closed is told by Connections.
 #pragma once
 
@@ -10,11 +10,11 @@
 #include <memory>
 #include <string>
 
-#include "connections.h"
-#include "journal_format.h"
-#include "waiting_since.h"
+#include "network/connections.h"
+#include "storage/journal_format.h"
+#include "network/queue_age.h"
 
-namespace grademux {
+namespace delivery {
 
 class Clients {
  public:
@@ -63,4 +63,4 @@
   char piece_[16384];  // what was just read, for all connections
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/connections.cpp
+++ b/src/network/connections.cpp
@@ -1,13 +1,13 @@
-// grademux: who is let in and who goes; see connections.h.
-#include "connections.h"
+// Who is let in and who goes; see connections.h.
+#include "network/connections.h"
 
 #include <algorithm>
 #include <tuple>
 
-#include "../json_fields.h"
-#include "resp.h"
+#include "protocol/json_fields.h"
+#include "protocol/resp.h"
 
-namespace grademux {
+namespace delivery {
 
 namespace {
 
@@ -435,4 +435,4 @@
   return first;
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/connections.h
+++ b/src/network/connections.h
@@ -1,4 +1,4 @@
-// grademux: who is let in and who goes: one budget of descriptors for clients, operators and endpoints. Plain
+// Who is let in and who goes: one budget of descriptors for clients, operators and endpoints. Plain
 // rules, fed with events and time on the monotonic clock; the sockets are with clients, control and
 // endpoints.
 #pragma once
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "grademux/sender.h"
+#include "decision/scheduler.h"
 
-namespace grademux {
+namespace delivery {
 
 // How one process divides the descriptors that it may hold, and what it may buffer of requests.
 struct Budget {
@@ -172,4 +172,4 @@
   bool pressure_told_ = false;
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/control.cpp
+++ b/src/network/control_server.cpp
@@ -1,13 +1,13 @@
-// grademux: the server for operators; see control.h.
-#include "control.h"
+// The server for operators; see control_server.h.
+#include "network/control_server.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
 #include <chrono>
 
-#include "clocks.h"
+#include "common/clocks.h"
 
-namespace grademux {
+namespace delivery {
 
 namespace asio = boost::asio;
 using asio::ip::tcp;
@@ -121,4 +121,4 @@
   });
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/control.h
+++ b/src/network/control_server.h
@@ -1,4 +1,4 @@
-// grademux: the server for operators: one line a connection, one reply line that begins with OK or ERR. Who
+// The server for operators: one line a connection, one reply line that begins with OK or ERR. Who
 // is let in and for how long is told by Connections.
 #pragma once
 
@@ -10,9 +10,9 @@
 #include <memory>
 #include <string>
 
-#include "connections.h"
+#include "network/connections.h"
 
-namespace grademux {
+namespace delivery {
 
 class Control {
  public:
@@ -37,4 +37,4 @@
   bool watching_ = false;
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/discovery.cpp
+++ b/src/network/discovery_client.cpp
@@ -1,9 +1,9 @@
-// grademux: discovery; see discovery.h.
-#include "discovery.h"
+// Discovery; see discovery_client.h.
+#include "network/discovery_client.h"
 
 #include <iostream>
 
-namespace grademux {
+namespace delivery {
 
 namespace asio = boost::asio;
 
@@ -188,4 +188,4 @@
   });
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/discovery.h
+++ b/src/network/discovery_client.h
@@ -1,4 +1,4 @@
-// grademux: discovery: the watch that brings the list of endpoints, and the notices that tell the platform
+// Discovery: the watch that brings the list of endpoints, and the notices that tell the platform
 // how messages ended.
 #pragma once
 
@@ -9,11 +9,11 @@
 #include <memory>
 #include <random>
 
-#include "../json_fields.h"
-#include "http.h"
-#include "journal.h"
+#include "protocol/json_fields.h"
+#include "network/http_connection.h"
+#include "storage/journal.h"
 
-namespace grademux {
+namespace delivery {
 
 struct ListedEndpoint {
   Endpoint endpoint;
@@ -97,4 +97,4 @@
   bool waiting_ = false;
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/endpoints.cpp
+++ b/src/network/endpoint_pool.cpp
@@ -1,12 +1,12 @@
-// grademux: calls to endpoints; see endpoints.h.
-#include "endpoints.h"
+// Calls to endpoints; see endpoint_pool.h.
+#include "network/endpoint_pool.h"
 
 #include <boost/asio/post.hpp>
 #include <chrono>
 #include <cmath>
 #include <cstdlib>
 
-namespace grademux {
+namespace delivery {
 
 namespace asio = boost::asio;
 
@@ -349,4 +349,4 @@
   });
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/endpoints.h
+++ b/src/network/endpoint_pool.h
@@ -1,4 +1,4 @@
-// grademux: calls to endpoints: the connection pool, and the outcome of each call. No policy: when a call
+// Calls to endpoints: the connection pool, and the outcome of each call. No policy: when a call
 // is made and how long it may take is told by the module, how many connections there may be by Connections.
 #pragma once
 
@@ -10,12 +10,12 @@
 #include <optional>
 #include <set>
 
-#include "clocks.h"
-#include "connections.h"
-#include "http.h"
-#include "journal.h"
+#include "common/clocks.h"
+#include "network/connections.h"
+#include "network/http_connection.h"
+#include "storage/journal.h"
 
-namespace grademux {
+namespace delivery {
 
 class Endpoints {
  public:
@@ -93,4 +93,4 @@
   bool sweeping_ = false;
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/http.cpp
+++ b/src/network/http_connection.cpp
@@ -1,5 +1,5 @@
-// grademux: HTTP connections; see http.h.
-#include "http.h"
+// HTTP connections; see http_connection.h.
+#include "network/http_connection.h"
 
 #include <boost/asio/steady_timer.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -10,7 +10,7 @@
 #include <sstream>
 #include <stdexcept>
 
-namespace grademux {
+namespace delivery {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
@@ -291,4 +291,4 @@
   throw std::invalid_argument("not an address with a port: " + address);
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/http.h
+++ b/src/network/http_connection.h
@@ -1,4 +1,4 @@
-// grademux: one kept-alive HTTP/1.1 connection that carries one exchange at a time, on Boost.Beast. It
+// One kept-alive HTTP/1.1 connection that carries one exchange at a time, on Boost.Beast. It
 // tells how far an exchange came, never sends anything twice, and is closed to call an exchange off.
 #pragma once
 
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "clocks.h"
+#include "common/clocks.h"
 
-namespace grademux {
+namespace delivery {
 
 using boost::asio::ip::tcp;
 
@@ -67,4 +67,4 @@
 
 tcp::endpoint parseAddress(const std::string& address);  // "10.0.0.4:6379"; throws std::invalid_argument
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/listener.cpp
+++ b/src/network/listener.cpp
@@ -1,5 +1,5 @@
-// grademux: listening sockets; see listener.h.
-#include "listener.h"
+// Listening sockets; see listener.h.
+#include "network/listener.h"
 
 #include <fcntl.h>
 #include <sys/socket.h>
@@ -7,7 +7,7 @@
 
 #include <cerrno>
 
-namespace grademux {
+namespace delivery {
 
 using boost::asio::ip::tcp;
 using boost::system::error_code;
@@ -39,4 +39,4 @@
   return tcp::acceptor(io, bound.ss_family == AF_INET ? tcp::v4() : tcp::v6(), own);
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/listener.h
+++ b/src/network/listener.h
@@ -1,10 +1,10 @@
-// grademux: listening sockets: opened at an address, or passed on by the platform.
+// Listening sockets: opened at an address, or passed on by the platform.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 
-namespace grademux {
+namespace delivery {
 
 // Throws boost::system::system_error when the address can't be listened on.
 boost::asio::ip::tcp::acceptor listenAt(boost::asio::io_context& io,
@@ -14,4 +14,4 @@
 // the time after the acceptor. Throws when it is no TCP socket.
 boost::asio::ip::tcp::acceptor listenOnPassed(boost::asio::io_context& io, int descriptor);
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/waiting_since.h
+++ b/src/network/queue_age.h
@@ -1,13 +1,13 @@
-// grademux: since when what is taken out of a queue of the kernel's may have waited there: a connection that
+// Since when what is taken out of a queue of the kernel's may have waited there: a connection that
 // is accepted, bytes that are read. A message's time runs from when its client sent it, not from when it was
 // read. Plain: fed with what is seen of the queue, and the time.
 #pragma once
 
 #include <algorithm>
 
-#include "grademux/deadline.h"
+#include "common/deadline.h"
 
-namespace grademux {
+namespace delivery {
 
 // A client waits so long for an answer: what it sent earlier, it does not wait for any more.
 constexpr Micros kClientWaits = 400'000;
@@ -26,4 +26,4 @@
   Micros since_;
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/host.cpp
+++ b/src/process/decision_driver.cpp
@@ -1,11 +1,11 @@
-// grademux: the host; see host.h.
-#include "host.h"
+// The host; see decision_driver.h.
+#include "process/decision_driver.h"
 
 #include <algorithm>
 #include <cmath>
 #include <iostream>
 
-namespace grademux {
+namespace delivery {
 
 namespace asio = boost::asio;
 
@@ -288,4 +288,4 @@
   });
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/host.h
+++ b/src/process/decision_driver.h
@@ -1,4 +1,4 @@
-// grademux: the host of the decision module: hands it events in turns, carries out its actions, and has the
+// The host of the decision module: hands it events in turns, carries out its actions, and has the
 // journal written before what it promises. It owns no policy.
 #pragma once
 
@@ -9,12 +9,12 @@
 #include <string>
 #include <vector>
 
-#include "clients.h"
-#include "discovery.h"
-#include "endpoints.h"
-#include "journal.h"
+#include "network/client_server.h"
+#include "network/discovery_client.h"
+#include "network/endpoint_pool.h"
+#include "storage/journal.h"
 
-namespace grademux {
+namespace delivery {
 
 class Host {
  public:
@@ -69,4 +69,4 @@
   bool turn_due_ = false, retired_ = false;
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/handover.cpp
+++ b/src/process/handover.cpp
@@ -1,5 +1,5 @@
-// grademux: the lock and the link between two processes of one sender; see handover.h.
-#include "handover.h"
+// The lock and the link between two processes of one sender; see handover.h.
+#include "process/handover.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -12,7 +12,7 @@
 #include <iostream>
 #include <stdexcept>
 
-namespace grademux {
+namespace delivery {
 
 namespace asio = boost::asio;
 using boost::system::error_code;
@@ -162,4 +162,4 @@
   return e ? nullptr : std::make_shared<Link>(std::move(socket));
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/handover.h
+++ b/src/process/handover.h
@@ -1,4 +1,4 @@
-// grademux: how two processes of one sender agree on who owns the journal: a lock that ends with its process,
+// How two processes of one sender agree on who owns the journal: a lock that ends with its process,
 // and a link between the two that carries lines of JSON. What is said over it stands in service.h.
 #pragma once
 
@@ -11,9 +11,9 @@
 #include <memory>
 #include <string>
 
-#include "../json_fields.h"
+#include "protocol/json_fields.h"
 
-namespace grademux {
+namespace delivery {
 
 class OwnerLock {
  public:
@@ -71,4 +71,4 @@
 // The link to the process that listens there, null if there is none.
 std::shared_ptr<Link> connectLink(boost::asio::io_context& io, const std::string& folder);
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/service.cpp
+++ b/src/process/sender_process.cpp
@@ -1,5 +1,5 @@
-// grademux: one process of a sender; see service.h.
-#include "service.h"
+// One process of a sender; see sender_process.h.
+#include "process/sender_process.h"
 
 #include <signal.h>
 
@@ -7,9 +7,9 @@
 #include <chrono>
 #include <iostream>
 
-#include "listener.h"
+#include "network/listener.h"
 
-namespace grademux {
+namespace delivery {
 
 namespace asio = boost::asio;
 
@@ -353,4 +353,4 @@
   serving_->notices.moveTo(peer, address);
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/service.h
+++ b/src/process/sender_process.h
@@ -1,4 +1,4 @@
-// grademux: one process of a sender, from start to end: it waits for the journal, serves, and hands over to
+// One process of a sender, from start to end: it waits for the journal, serves, and hands over to
 // the process that replaces it. Wires the parts together; decides nothing about messages.
 //
 // Lines over the link, from the process that owned the journal: {"release":[[id,attempt],...]}, the calls it
@@ -15,11 +15,11 @@
 #include <string>
 #include <vector>
 
-#include "control.h"
-#include "handover.h"
-#include "host.h"
+#include "network/control_server.h"
+#include "process/handover.h"
+#include "process/decision_driver.h"
 
-namespace grademux {
+namespace delivery {
 
 struct Config {
   std::string listen, discovery;
@@ -95,4 +95,4 @@
   std::vector<Outcome> told_;  // to the newer process: if it dies, it may not have written them down
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/journal_tool.cpp
+++ b/src/programs/journal_inspect.cpp
@@ -1,12 +1,12 @@
-// grademux: tells what a sender's journal holds. Reads only, also beside a running sender.
+// Tells what a sender's journal holds. Reads only, also beside a running sender.
 #include <filesystem>
 #include <fstream>
 #include <iostream>
 #include <iterator>
 
-#include "net/journal_format.h"
+#include "storage/journal_format.h"
 
-using namespace grademux;
+using namespace delivery;
 
 namespace {
 
@@ -59,6 +59,6 @@
 
 int main(int argc, char** argv) {
   if (argc == 3 && std::string(argv[1]) == "check") return check(argv[2]);
-  std::cerr << "usage: grademux_journal check FOLDER\n";
+  std::cerr << "usage: journal_inspect check FOLDER\n";
   return kUnreadable;
 }
--- a/src/main.cpp
+++ b/src/programs/message_sender.cpp
@@ -1,4 +1,4 @@
-// grademux: the real sender: reads its configuration, wires the parts together, and handles signals.
+// The real sender: reads its configuration, wires the parts together, and handles signals.
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -7,10 +7,10 @@
 #include <iostream>
 #include <sstream>
 
-#include "net/service.h"
-#include "settings.h"
+#include "process/sender_process.h"
+#include "protocol/settings_reader.h"
 
-using namespace grademux;
+using namespace delivery;
 
 namespace {
 
@@ -115,7 +115,7 @@
   try {
     run(readConfig());
   } catch (const std::exception& e) {
-    std::cerr << "grademux: " << e.what() << '\n';
+    std::cerr << "message_sender: " << e.what() << '\n';
     return 2;
   }
   return 0;
--- a/src/simhost.cpp
+++ b/src/programs/simulator_adapter.cpp
@@ -1,13 +1,13 @@
-// grademux: the adapter between the simulator's wire (lines of JSON on standard input and output) and the
+// The adapter between the simulator's wire (lines of JSON on standard input and output) and the
 // decision module. It translates and keeps many isolated instances; it decides nothing.
 #include <algorithm>
 #include <iostream>
 #include <map>
 #include <stdexcept>
 
-#include "settings.h"
+#include "protocol/settings_reader.h"
 
-using namespace grademux;
+using namespace delivery;
 
 namespace {
 
@@ -208,7 +208,7 @@
       }
       json operator()(const Fail& a) const { return {{"FinishError", {{"Who", who}, {"OpId", a.id}}}}; }
       json operator()(const Ailment&) const { return nullptr; }  // here nothing outlasts a process
-      json operator()(const grademux::Watch&) const { return {{"Watch", {{"Who", who}, {"Active", true}}}}; }
+      json operator()(const delivery::Watch&) const { return {{"Watch", {{"Who", who}, {"Active", true}}}}; }
       json operator()(const CloseIdle& a) const {
         return {{"Disconnect", {{"Who", who}, {"Endpoint", a.endpoint}}}};
       }
--- a/src/json_fields.h
+++ b/src/protocol/json_fields.h
@@ -1,4 +1,4 @@
-// grademux: strict reading of fields from JSON; errors name the field. Shared by all that reads JSON.
+// Strict reading of fields from JSON; errors name the field. Shared by all that reads JSON.
 #pragma once
 
 #include <cmath>
@@ -9,9 +9,9 @@
 #include <string>
 #include <utility>
 
-#include "grademux/sender.h"
+#include "decision/scheduler.h"
 
-namespace grademux {
+namespace delivery {
 
 using nlohmann::json;
 
@@ -90,4 +90,4 @@
   bad(std::string("unknown value of ") + name + ": " + word);
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -1,7 +1,7 @@
-// grademux: RESP2 requests; see resp.h.
-#include "resp.h"
+// RESP2 requests; see resp.h.
+#include "protocol/resp.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 constexpr std::size_t kLongestCount = 8;  // digits
@@ -71,4 +71,4 @@
   return Parsed::whole;
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/resp.h
+++ b/src/protocol/resp.h
@@ -1,11 +1,11 @@
-// grademux: a small strict parser of RESP2 requests (arrays of bulk strings), with bounds on all sizes.
+// A small strict parser of RESP2 requests (arrays of bulk strings), with bounds on all sizes.
 #pragma once
 
 #include <string>
 #include <string_view>
 #include <vector>
 
-namespace grademux {
+namespace delivery {
 
 constexpr std::size_t kMostWords = 16, kLongestWord = 65536;
 // The longest request that can be well formed, so that a reader knows when to stop reading.
@@ -17,4 +17,4 @@
 Parsed parseRequest(std::string_view in, std::vector<std::string>& words, std::size_t& used,
                     std::string& error);
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/settings.cpp
+++ b/src/protocol/settings_reader.cpp
@@ -1,7 +1,7 @@
-// grademux: reads the settings; see settings.h.
-#include "settings.h"
+// Reads the settings; see settings_reader.h.
+#include "protocol/settings_reader.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 MessageClass readClass(const json& c) {
@@ -89,4 +89,4 @@
   return s;
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/files.cpp
+++ b/src/storage/file_system.cpp
@@ -1,5 +1,5 @@
-// grademux: file calls; see files.h.
-#include "files.h"
+// File calls; see file_system.h.
+#include "storage/file_system.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -8,7 +8,7 @@
 #include <cerrno>
 #include <cstdio>
 
-namespace grademux {
+namespace delivery {
 
 int Files::open(const std::string& path, int flags) { return ::open(path.c_str(), flags | O_CLOEXEC, 0644); }
 ssize_t Files::read(int fd, char* to, std::size_t size) { return ::read(fd, to, size); }
@@ -42,4 +42,4 @@
   return files;
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/files.h
+++ b/src/storage/file_system.h
@@ -1,4 +1,4 @@
-// grademux: the file calls of the journal, as the system has them (errno and all), so that tests can have
+// The file calls of the journal, as the system has them (errno and all), so that tests can have
 // them fail.
 #pragma once
 
@@ -7,7 +7,7 @@
 #include <cstddef>
 #include <string>
 
-namespace grademux {
+namespace delivery {
 
 class Files {
  public:
@@ -26,4 +26,4 @@
   static Files& system();
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/journal.cpp
+++ b/src/storage/journal.cpp
@@ -1,5 +1,5 @@
-// grademux: the journal; see journal.h.
-#include "journal.h"
+// The journal; see journal.h.
+#include "storage/journal.h"
 
 #include <fcntl.h>
 
@@ -8,7 +8,7 @@
 #include <cstring>
 #include <stdexcept>
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 constexpr std::uint64_t kBlock = 512;
@@ -268,4 +268,4 @@
   return !suspect_;
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/journal.h
+++ b/src/storage/journal.h
@@ -1,4 +1,4 @@
-// grademux: the journal of what this sender has taken on. Append-only records, written before what they
+// The journal of what this sender has taken on. Append-only records, written before what they
 // promise; rewritten without what is over, and renamed. It keeps what happened and decides nothing. Its
 // format and what it promises: docs/journal.md.
 #pragma once
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "files.h"
-#include "journal_format.h"
+#include "storage/file_system.h"
+#include "storage/journal_format.h"
 
-namespace grademux {
+namespace delivery {
 
 class Journal {
  public:
@@ -78,4 +78,4 @@
   Recovered recovered_;
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/journal_format.cpp
+++ b/src/storage/journal_format.cpp
@@ -1,12 +1,12 @@
-// grademux: the journal's file format; see journal_format.h.
-#include "journal_format.h"
+// The journal's file format; see journal_format.h.
+#include "storage/journal_format.h"
 
 #include <algorithm>
 #include <boost/crc.hpp>
 #include <optional>
 #include <stdexcept>
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 // The mark lets the reader find the next record after a damaged one.
@@ -362,4 +362,4 @@
   return r;
 }
 
-}  // namespace grademux
+}  // namespace delivery
--- a/src/net/journal_format.h
+++ b/src/storage/journal_format.h
@@ -1,4 +1,4 @@
-// grademux: the journal's file format, as docs/journal.md states it: what a record says, how it is found
+// The journal's file format, as docs/journal.md states it: what a record says, how it is found
 // among damage, and what all of them together leave open. No file calls.
 #pragma once
 
@@ -9,10 +9,10 @@
 #include <utility>
 #include <vector>
 
-#include "clocks.h"
-#include "grademux/sender.h"
+#include "common/clocks.h"
+#include "decision/scheduler.h"
 
-namespace grademux {
+namespace delivery {
 
 struct TakenOn {  // what a client handed in, as it goes on to the endpoint
   std::string id, message_class, tenant, order_key, idempotency_key, body;
@@ -115,4 +115,4 @@
 };
 JournalReading readJournal(const std::string& data, const Clocks& now);
 
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -1,9 +1,9 @@
 // 5 admission: what is refused, and messages with little or no time.
 #include <algorithm>
 
-#include "rig.h"
+#include "support/scheduler_fixture.h"
 
-using namespace grademux;
+using namespace delivery;
 using Ids = std::vector<std::string>;
 
 namespace {
--- a/tests/attempts_test.cpp
+++ b/tests/decision/attempts_test.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <set>
 
-#include "rig.h"
+#include "support/scheduler_fixture.h"
 
-using namespace grademux;
+using namespace delivery;
 using Ids = std::vector<std::string>;
 
 namespace {
--- a/tests/bound_test.cpp
+++ b/tests/decision/bound_test.cpp
@@ -1,9 +1,9 @@
 // 2 upper bound: limits, parts, waits and returning destinations.
 #include <algorithm>
 
-#include "rig.h"
+#include "support/scheduler_fixture.h"
 
-using namespace grademux;
+using namespace delivery;
 using Ids = std::vector<std::string>;
 
 namespace {
--- a/tests/health_test.cpp
+++ b/tests/decision/health_test.cpp
@@ -1,9 +1,9 @@
 // 3 health: sickness, the lane, connections that die idle.
 #include <algorithm>
 
-#include "rig.h"
+#include "support/scheduler_fixture.h"
 
-using namespace grademux;
+using namespace delivery;
 
 namespace {
 
--- a/tests/membership_test.cpp
+++ b/tests/decision/membership_test.cpp
@@ -1,9 +1,9 @@
 // 6 membership: the list of endpoints, and events that name nothing.
 #include <algorithm>
 
-#include "rig.h"
+#include "support/scheduler_fixture.h"
 
-using namespace grademux;
+using namespace delivery;
 using Ids = std::vector<std::string>;
 
 namespace {
@@ -25,13 +25,13 @@
   s.list = ListMode::ask;
   Rig r(s);
   r.list({makeEndpoint("e1", 1)});
-  EXPECT_EQ(r.got<grademux::Watch>().size(), 1u);
+  EXPECT_EQ(r.got<delivery::Watch>().size(), 1u);
   r.at(kS).run({ListUpdate{ListKind::failed, {}}});
-  EXPECT_TRUE(r.got<grademux::Watch>().empty());
+  EXPECT_TRUE(r.got<delivery::Watch>().empty());
   std::size_t asked = 0;
   for (int i = 0; i < 100; ++i) {
     r.at(kS + (i + 1) * 50 * kMs).wake();
-    asked += r.got<grademux::Watch>().size();
+    asked += r.got<delivery::Watch>().size();
   }
   EXPECT_EQ(asked, 1u);
 }
--- a/tests/property_test.cpp
+++ b/tests/decision/property_test.cpp
@@ -5,9 +5,9 @@
 #include <random>
 #include <set>
 
-#include "rig.h"
+#include "support/scheduler_fixture.h"
 
-using namespace grademux;
+using namespace delivery;
 
 namespace {
 
--- a/tests/restart_test.cpp
+++ b/tests/decision/restart_test.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <set>
 
-#include "rig.h"
+#include "support/scheduler_fixture.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 Resumed resumed(const Rig& rig, const std::string& id, const std::string& cls,
@@ -225,4 +225,4 @@
 }
 
 }  // namespace
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/tags_test.cpp
+++ b/tests/decision/tags_test.cpp
@@ -1,9 +1,9 @@
 // 1 tags: the ordinary path, dual tags as in the paper, computed by hand.
 #include <algorithm>
 
-#include "rig.h"
+#include "support/scheduler_fixture.h"
 
-using namespace grademux;
+using namespace delivery;
 using Ids = std::vector<std::string>;
 
 namespace {
--- a/tests/net_clients_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -6,12 +6,12 @@
 #include <memory>
 #include <optional>
 
-#include "../src/net/clients.h"
-#include "../src/net/listener.h"
-#include "../src/net/resp.h"
-#include "net/loopback.h"
+#include "network/client_server.h"
+#include "network/listener.h"
+#include "protocol/resp.h"
+#include "support/loopback.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 constexpr Micros kMs = 1000;
@@ -141,4 +141,4 @@
 }
 
 }  // namespace
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/connections_test.cpp
+++ b/tests/network/connections_test.cpp
@@ -1,15 +1,15 @@
 // Who is let in and who goes, on made-up time: the budget, deadlines, turns, shares and bytes.
-#include "../src/net/connections.h"
+#include "network/connections.h"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <random>
 
-#include "../src/json_fields.h"
-#include "../src/net/resp.h"
+#include "protocol/json_fields.h"
+#include "protocol/resp.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 using State = Connections::State;
@@ -505,4 +505,4 @@
 }
 
 }  // namespace
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/net_connections_test.cpp
+++ b/tests/network/descriptor_limit_test.cpp
@@ -1,8 +1,8 @@
 // Connections under pressure, on the whole program: crowds, peers that never read, too few descriptors,
 // limits that are halved.
-#include "net/loopback.h"
+#include "support/loopback.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 using namespace loopback;
@@ -159,4 +159,4 @@
 }
 
 }  // namespace
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/net_endpoints_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -2,10 +2,10 @@
 #include <boost/asio/io_context.hpp>
 #include <optional>
 
-#include "../src/net/endpoints.h"
-#include "net/loopback.h"
+#include "network/endpoint_pool.h"
+#include "support/loopback.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 using loopback::Act;
@@ -529,4 +529,4 @@
 }
 
 }  // namespace
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/waiting_since_test.cpp
+++ b/tests/network/queue_age_test.cpp
@@ -1,9 +1,9 @@
 // Since when what is taken out of a queue of the kernel's may have waited there, on made-up time.
-#include "../src/net/waiting_since.h"
+#include "network/queue_age.h"
 
 #include <gtest/gtest.h>
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 constexpr Micros kMs = 1000;
@@ -30,4 +30,4 @@
 }
 
 }  // namespace
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/net_control_test.cpp
+++ b/tests/process/control_test.cpp
@@ -1,7 +1,7 @@
 // The address for operators, and the drain that they ask for, on the whole program.
-#include "net/loopback.h"
+#include "support/loopback.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 using namespace loopback;
@@ -90,4 +90,4 @@
 }
 
 }  // namespace
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/net_sender_test.cpp
+++ b/tests/process/sender_test.cpp
@@ -1,9 +1,9 @@
 // The whole program as a child process: clients, endpoints and discovery over loopback sockets, kills
 // between.
-#include "../src/net/journal.h"
-#include "net/loopback.h"
+#include "storage/journal.h"
+#include "support/loopback.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 using namespace loopback;
@@ -666,4 +666,4 @@
 }
 
 }  // namespace
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/net_upgrade_test.cpp
+++ b/tests/process/upgrade_test.cpp
@@ -2,10 +2,10 @@
 // temporary files, and the clients' listening socket.
 #include <sys/un.h>
 
-#include "../src/net/handover.h"
-#include "net/loopback.h"
+#include "process/handover.h"
+#include "support/loopback.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 using namespace loopback;
@@ -352,4 +352,4 @@
 }
 
 }  // namespace
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/simhost_test.cpp
+++ b/tests/programs/simulator_adapter_test.cpp
@@ -10,7 +10,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "rig.h"
+#include "support/scheduler_fixture.h"
 
 using nlohmann::json;
 
@@ -28,8 +28,8 @@
   return s.str();
 }
 
-Ran host(const std::string& input, const char* adapter = SIMHOST) {
-  const std::string base = ::testing::TempDir() + "simhost-" + std::to_string(::getpid());
+Ran host(const std::string& input, const char* adapter = SIMULATOR_ADAPTER) {
+  const std::string base = ::testing::TempDir() + "simulator-adapter-" + std::to_string(::getpid());
   std::ofstream(base + ".in") << input;
   const std::string cmd = std::string(adapter) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
   const int raw = std::system(cmd.c_str());
@@ -80,7 +80,7 @@
             {"GiveUpAtMs", 9000.0}}}};
 }
 
-TEST(Simhost, SendsWhatArrivesAndEndsWithInput) {
+TEST(SimulatorAdapter, SendsWhatArrivesAndEndsWithInput) {
   const Ran r = host(batch(1000, {attach(), roster(), members(), call("00000000000000aa")}) +
                      batch(1001, json::array()));
   EXPECT_EQ(r.status, 0) << r.err;
@@ -92,7 +92,7 @@
   EXPECT_EQ(second, R"({"cmds":[]})");
 }
 
-TEST(Simhost, RestartInTheSameBatchLeavesNothingOfTheEarlierLife) {
+TEST(SimulatorAdapter, RestartInTheSameBatchLeavesNothingOfTheEarlierLife) {
   const json off = {{"PowerOff", {{"Who", 0}}}};
   const json late = {{"Reply",
                       {{"Who", 0},
@@ -110,7 +110,7 @@
   EXPECT_EQ(r.out.find("FinishError"), std::string::npos) << r.out;
 }
 
-TEST(Simhost, BadInputIsNamedOnOneLine) {
+TEST(SimulatorAdapter, BadInputIsNamedOnOneLine) {
   json mistyped = options();
   mistyped["Categories"][0]["AimMs"] = "soon";
   json negative = options();
@@ -141,15 +141,15 @@
   }
 }
 
-TEST(Simhost, AnExceptionInTheModuleIsAFaultWithItsTextAndTheHostGoesOn) {
+TEST(SimulatorAdapter, AnExceptionInTheModuleIsAFaultWithItsTextAndTheHostGoesOn) {
   const Ran r =
-      host(batch(1000, {attach(), roster(), members()}) + batch(1001, json::array()), SIMHOST_THROWING);
+      host(batch(1000, {attach(), roster(), members()}) + batch(1001, json::array()), SIMULATOR_ADAPTER_THROWING);
   EXPECT_EQ(r.status, 0) << r.err;
   EXPECT_EQ(r.out,
             "{\"cmds\":[{\"Fatal\":{\"Who\":0,\"Words\":\"tag without a message\"}}]}\n{\"cmds\":[]}\n");
 }
 
-TEST(Simhost, HundredsOfSendersKilledAndAttachedInOneBatchKeepNothing) {
+TEST(SimulatorAdapter, HundredsOfSendersKilledAndAttachedInOneBatchKeepNothing) {
   json first = json::array({roster()}), again = json::array();
   for (int who = 0; who < 300; ++who) {
     first.push_back(attach(options(), who));
--- a/tests/net_resp_test.cpp
+++ b/tests/protocol/resp_test.cpp
@@ -1,9 +1,9 @@
 // The parser of RESP2 requests: pieces of any size, bounds, and what is malformed.
 #include <gtest/gtest.h>
 
-#include "../src/net/resp.h"
+#include "protocol/resp.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 Parsed parse(const std::string& in, std::vector<std::string>& words, std::size_t& used) {
@@ -48,4 +48,4 @@
 }
 
 }  // namespace
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/settings_test.cpp
+++ b/tests/protocol/settings_reader_test.cpp
@@ -1,9 +1,9 @@
 // Settings that cannot be.
 #include <algorithm>
 
-#include "rig.h"
+#include "support/scheduler_fixture.h"
 
-using namespace grademux;
+using namespace delivery;
 
 namespace {
 
--- a/tests/net_journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -5,10 +5,10 @@
 #include <filesystem>
 #include <fstream>
 
-#include "../src/net/journal.h"
-#include "net/loopback.h"
+#include "storage/journal.h"
+#include "support/loopback.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 using loopback::TempFolder;
@@ -175,4 +175,4 @@
 }
 
 }  // namespace
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/net_recovery_test.cpp
+++ b/tests/storage/recovery_test.cpp
@@ -14,10 +14,10 @@
 #include <random>
 #include <set>
 
-#include "../src/net/journal.h"
-#include "net/loopback.h"
+#include "storage/journal.h"
+#include "support/loopback.h"
 
-namespace grademux {
+namespace delivery {
 namespace {
 
 using loopback::TempFolder;
@@ -657,7 +657,7 @@
 };
 Ran tool(const std::string& arguments) {
   Ran r;
-  FILE* p = ::popen((std::string(GRADEMUX_JOURNAL) + " " + arguments + " 2>&1").c_str(), "r");
+  FILE* p = ::popen((std::string(JOURNAL_INSPECT) + " " + arguments + " 2>&1").c_str(), "r");
   char piece[4096];
   for (std::size_t n; (n = std::fread(piece, 1, sizeof piece, p)) > 0;) r.out.append(piece, n);
   r.status = WEXITSTATUS(::pclose(p));
@@ -694,4 +694,4 @@
 }
 
 }  // namespace
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/net/loopback.h
+++ b/tests/support/loopback.h
@@ -29,7 +29,7 @@
 #include <thread>
 #include <vector>
 
-namespace grademux::loopback {
+namespace delivery::loopback {
 
 using nlohmann::json;
 using namespace std::chrono_literals;
@@ -39,7 +39,7 @@
 class TempFolder {
  public:
   TempFolder() {
-    std::string pattern = (std::filesystem::temp_directory_path() / "grademux-XXXXXX").string();
+    std::string pattern = (std::filesystem::temp_directory_path() / "delivery-XXXXXX").string();
     path_ = ::mkdtemp(pattern.data());
   }
   ~TempFolder() {
@@ -488,7 +488,7 @@
       ::setenv("GW_STATE", state.c_str(), 1);
       ::unsetenv("GW_LISTEN");
       ::unsetenv("GW_DISCOVERY");
-      ::execl(GRADEMUX_SENDER, GRADEMUX_SENDER, static_cast<char*>(nullptr));
+      ::execl(MESSAGE_SENDER, MESSAGE_SENDER, static_cast<char*>(nullptr));
       ::_exit(127);
     }
     return pid;
@@ -546,4 +546,4 @@
 inline Act deliver(const Seen&) { return {answer("200 OK")}; }
 inline Act stayOut(const Seen&) { return {}; }
 
-}  // namespace grademux::loopback
+}  // namespace delivery::loopback
--- a/tests/rig.h
+++ b/tests/support/scheduler_fixture.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "grademux/sender.h"
+#include "decision/scheduler.h"
 
-namespace grademux {
+namespace delivery {
 
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000000;
@@ -128,4 +128,4 @@
   std::map<std::string, Micros> timeout;
 };
 
-}  // namespace grademux
+}  // namespace delivery
--- a/tests/throwing_sender.cpp
+++ b/tests/support/throwing_scheduler.cpp
@@ -1,9 +1,9 @@
 // A module whose every decision throws, linked with the adapter to show what becomes of it on the wire.
 #include <stdexcept>
 
-#include "grademux/sender.h"
+#include "decision/scheduler.h"
 
-namespace grademux {
+namespace delivery {
 
 struct Sender::Impl {};
 Sender::Sender(Settings, std::uint64_t) {}
@@ -12,4 +12,4 @@
   throw std::out_of_range("tag without a message");
 }
 
-}  // namespace grademux
+}  // namespace delivery
