--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -82,7 +82,6 @@
   Kind plain_kind;
 
   Impl(Settings s, std::uint64_t seed) : set(std::move(s)), random(seed) {
-    validate(set);
     tenant_rate.resize(set.tenants.size());
     for (const auto& c : set.classes) least_aim = std::min(least_aim, static_cast<double>(c.aim));
     ask_at = set.list == ListMode::ask ? 0 : kNever;
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -174,7 +174,7 @@
 
 class Sender {
  public:
-  // Throws std::invalid_argument naming the field when the settings can't be.
+  // The settings have been checked where they were read.
   Sender(Settings settings, std::uint64_t seed);
   ~Sender();
 
--- a/src/programs/simulator_adapter.cpp
+++ b/src/programs/simulator_adapter.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 #include <iostream>
 #include <map>
-#include <stdexcept>
 
 #include "protocol/settings_reader.h"
 
@@ -105,10 +104,8 @@
       }
     Settings s = readSettings(o);
     instances_.erase(who);
-    try {
-      instances_.emplace(std::piecewise_construct, std::forward_as_tuple(who),
-                         std::forward_as_tuple(std::move(s), seed.get<std::uint64_t>(), x0, x1));
-    } catch (const std::invalid_argument& e) { bad(e.what()); }
+    instances_.emplace(std::piecewise_construct, std::forward_as_tuple(who),
+                       std::forward_as_tuple(std::move(s), seed.get<std::uint64_t>(), x0, x1));
   }
 
   void roster(const json& f) {
--- a/src/protocol/settings_reader.cpp
+++ b/src/protocol/settings_reader.cpp
@@ -63,8 +63,34 @@
   s.overload_factor = number(r, "OverloadFactor", 1);
 }
 
+void require(bool good, const char* field) {
+  if (!good) bad(std::string("settings: ") + field);
+}
+
 }  // namespace
 
+void validateSettings(const Settings& s) {
+  require(!s.classes.empty(), "classes");
+  for (const auto& c : s.classes) {
+    require(c.aim > 0, "classes.aim");
+    require(c.deadline >= c.aim, "classes.deadline");
+    require(c.memory >= 0, "classes.memory");
+    require(c.worth >= 0 && c.late_worth >= 0 && c.aim_stretch >= 0, "classes.worth");
+  }
+  for (const auto& t : s.tenants) require(t.quota >= 0, "tenants.quota");
+  for (const auto& k : s.kinds) require(k.per_call >= 1, "kinds.per_call");
+  require(s.senders >= 1, "senders");
+  require(s.slots >= 1, "slots");
+  require(s.max_open >= 1, "max_open");
+  require(s.max_attempts >= 1, "max_attempts");
+  require(s.tick >= 0 && s.answer_slack >= 0, "tick");
+  require(s.drain_grace >= 0 && s.ask_within >= 0 && s.order_pause >= 0, "rules");
+  require(s.dial_timeout >= 0 && s.conn_idle >= 0, "dial_timeout");
+  require(s.max_pause >= 0, "max_pause");
+  require(s.fall_span >= 0 && s.ramp_time >= 0, "fall_span");
+  require(s.cold_share > 0 && s.cold_share <= 1 && s.overload_factor > 0, "cold_share");
+}
+
 Settings readSettings(const json& o) {
   Settings s;
   for (const json& c : array(o, "Categories")) s.classes.push_back(readClass(c));
@@ -86,6 +112,7 @@
   s.over_share_worth = number(o, "OverShareWorth", 1);
   readDomain(o, s);
   readLimits(o, s);
+  validateSettings(s);
   return s;
 }
 
--- a/tests/protocol/settings_reader_test.cpp
+++ b/tests/protocol/settings_reader_test.cpp
@@ -1,6 +1,8 @@
 // Settings that cannot be.
 #include <algorithm>
 
+#include "protocol/settings_reader.h"
+
 #include "support/scheduler_fixture.h"
 
 using namespace delivery;
@@ -11,17 +13,22 @@
   Settings s = makeSettings();
   s.slots = 0;
   try {
-    Sender sender(s, 1);
+    validateSettings(s);
     FAIL();
-  } catch (const std::invalid_argument& e) {
+  } catch (const BadInput& e) {
     EXPECT_NE(std::string(e.what()).find("slots"), std::string::npos);
   }
   s = makeSettings();
   s.classes.clear();
-  EXPECT_THROW(Sender(s, 1), std::invalid_argument);
+  EXPECT_THROW(validateSettings(s), BadInput);
   s = makeSettings();
   s.tick = -1;
-  EXPECT_THROW(Sender(s, 1), std::invalid_argument);
+  EXPECT_THROW(validateSettings(s), BadInput);
+}
+
+TEST(Settings, ReadingThemChecksThem) {
+  const json category{{"Name", "a"}, {"AimMs", 0}, {"DeadlineMs", 1}, {"Idempotency", "idempotent"}};
+  EXPECT_THROW(readSettings({{"Categories", {category}}}), BadInput);
 }
 
 }  // namespace
