--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -1,6 +1,8 @@
 // The decision module. Its interface stands in scheduler.h.
 // The design is RBFQ of "RePAIR" (dual real-time tags). Sections: 1 tags, 2 upper bound, 3 health, 4
 // attempts, 5 admission, 6 membership, then the turn.
+#include "decision/scheduler.h"
+
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -8,7 +10,6 @@
 #include <set>
 #include <unordered_map>
 
-#include "decision/scheduler.h"
 #include "decision/state.h"
 
 namespace delivery {
@@ -166,7 +167,8 @@
     if (age >= deadline) return 0;
     if (age > aim && set.late == LateRule::line)
       share = 1 - (1 - c.late_worth) * (age - aim) / (deadline - aim);
-    else if (age > aim) share = std::max(c.late_worth, std::exp2(-(age - aim) / aim));
+    else if (age > aim)
+      share = std::max(c.late_worth, std::exp2(-(age - aim) / aim));
     return c.worth * share * tenantFactor(m.tenant);
   }
 
@@ -464,8 +466,10 @@
     std::multimap<Effect, std::pair<Message*, std::size_t>> late;  // the oldest first, of each effect
     for (auto& [order, o] : outs) {
       const Attempt& a = o.first->attempts[o.second];
-      if (a.called_off) --excess;
-      else if (a.late && sick(*a.server)) late.insert({o.first->cls->effect, o});
+      if (a.called_off)
+        --excess;
+      else if (a.late && sick(*a.server))
+        late.insert({o.first->cls->effect, o});
     }
     for (auto& [effect, o] : late) {
       if (excess-- <= 0) return;
--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "common/clocks.h"
-#include "protocol/resp.h"
 #include "network/queue_age.h"
+#include "protocol/resp.h"
 
 namespace delivery {
 
@@ -27,7 +27,8 @@
 constexpr std::int64_t kLongestMs = 24LL * 3600 * 1000;
 
 bool wholeNumber(const std::string& s, std::int64_t& out) {
-  if (s.empty() || s.size() > 18 || s.find_first_not_of("0123456789") != std::string::npos) return false;
+  if (s.empty() || s.size() > 18 || s.find_first_not_of("0123456789") != std::string::npos)
+    return false;
   out = std::strtoll(s.c_str(), nullptr, 10);
   return true;
 }
@@ -40,7 +41,8 @@
     const std::string item = list.substr(at, end - at);
     at = end + 1;
     const auto equals = item.find('=');
-    if (equals == std::string::npos) return "malformed list of values";
+    if (equals == std::string::npos)
+      return "malformed list of values";
     const std::string name = item.substr(0, equals), value = item.substr(equals + 1);
     std::int64_t n = 0;
     if (name == "c") {
@@ -48,11 +50,13 @@
     } else if (name == "t") {
       m.tenant = value;
     } else if (name == "d") {
-      if (!wholeNumber(value, n) || n == 0 || n > kLongestMs) return "malformed d";
+      if (!wholeNumber(value, n) || n == 0 || n > kLongestMs)
+        return "malformed d";
       m.span = n * 1000;
       timed = true;
     } else if (name == "dest") {
-      if (!wholeNumber(value, m.destination)) return "malformed dest";
+      if (!wholeNumber(value, m.destination))
+        return "malformed dest";
       addressed = true;
     } else if (name == "k") {
       m.idempotency_key = value;
@@ -60,22 +64,27 @@
       m.repeat = m.repeat || value == "1";
     }
   }
-  if (m.message_class.empty()) return "no class";
-  if (!timed) return "no d";
-  if (!addressed) return "no dest";
+  if (m.message_class.empty())
+    return "no class";
+  if (!timed)
+    return "no d";
+  if (!addressed)
+    return "no dest";
   return nullptr;
 }
 
 // Ids and keys go on as HTTP header values: guards against one that would end its header early.
 bool plain(const std::string& s) {
   for (const char c : s)
-    if (c <= ' ' || c == 127) return false;
+    if (c <= ' ' || c == 127)
+      return false;
   return true;
 }
 
 std::string upper(std::string s) {
   for (char& c : s)
-    if (c >= 'a' && c <= 'z') c = static_cast<char>(c - 'a' + 'A');
+    if (c >= 'a' && c <= 'z')
+      c = static_cast<char>(c - 'a' + 'A');
   return s;
 }
 
@@ -98,9 +107,11 @@
   // Waits first, so that a connection that rests holds no buffer.
   void read() {
     error_code none;
-    if (socket.available(none) == 0) waiting.seenEmpty();
+    if (socket.available(none) == 0)
+      waiting.seenEmpty();
     socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code e) {
-      if (!self->open) return;
+      if (!self->open)
+        return;
       self->waiting.seenFull(monotonicNow());
       e ? self->close() : self->take();
     });
@@ -108,11 +119,14 @@
 
   void take() {
     const std::size_t most = std::min(clients.rules_.mayRead(id), sizeof clients.piece_);
-    if (most == 0) return clients.lookLater();
+    if (most == 0)
+      return clients.lookLater();
     error_code e;
     const std::size_t n = socket.read_some(asio::buffer(clients.piece_, most), e);
-    if (e == asio::error::would_block) return read();
-    if (e) return close();
+    if (e == asio::error::would_block)
+      return read();
+    if (e)
+      return close();
     const Micros now = monotonicNow();
     clients.rules_.received(id, n, now);
     if (hangs_up) {
@@ -121,7 +135,8 @@
     }
     heard = waiting.from(now);
     waiting.taken(now);
-    if (in.empty()) began = heard;
+    if (in.empty())
+      began = heard;
     in.append(clients.piece_, n);
     next();
   }
@@ -143,7 +158,8 @@
       hangs_up = true;
       return write("-ERR " + error);
     }
-    if (clients.rules_.whole(id, monotonicNow())) carryOut(words, used);
+    if (clients.rules_.whole(id, monotonicNow()))
+      carryOut(words, used);
   }
 
   // Its turn has come: what was buffered is read once more.
@@ -151,31 +167,42 @@
     std::vector<std::string> words;
     std::size_t used = 0;
     std::string error;
-    if (parseRequest(in, words, used, error) == Parsed::whole) carryOut(words, used);
+    if (parseRequest(in, words, used, error) == Parsed::whole)
+      carryOut(words, used);
   }
 
   void carryOut(const std::vector<std::string>& words, std::size_t used) {
     const Micros first_byte = std::exchange(began, heard);  // what is left came with the last bytes
     in.erase(0, used);
-    if (in.empty()) in.shrink_to_fit();  // what rests holds no memory of what it once sent
+    if (in.empty())
+      in.shrink_to_fit();  // what rests holds no memory of what it once sent
     clients.rules_.taken(id, in.size());
     const std::string command = upper(words[0]);
-    if (command == "PING" && words.size() > 1) return answer("-ERR wrong number of arguments");
-    if (command == "PING") return answer(clients.rules_.draining() ? "-ERR draining" : "+PONG");
-    if (command != "MSG.PUT") return answer("-ERR unknown command");
-    if (words.size() != 5) return answer("-ERR wrong number of arguments");
+    if (command == "PING" && words.size() > 1)
+      return answer("-ERR wrong number of arguments");
+    if (command == "PING")
+      return answer(clients.rules_.draining() ? "-ERR draining" : "+PONG");
+    if (command != "MSG.PUT")
+      return answer("-ERR unknown command");
+    if (words.size() != 5)
+      return answer("-ERR wrong number of arguments");
     TakenOn m;
-    if (words[1].find_first_not_of('0') != std::string::npos) m.order_key = words[1];
+    if (words[1].find_first_not_of('0') != std::string::npos)
+      m.order_key = words[1];
     m.id = words[2];
     m.body = words[4];
-    if (m.id.empty() || !plain(m.id)) return answer("-ERR malformed id");
-    if (const char* wrong = readFields(words[3], m)) return answer(std::string("-ERR ") + wrong);
-    if (!plain(m.idempotency_key)) return answer("-ERR malformed k");
+    if (m.id.empty() || !plain(m.id))
+      return answer("-ERR malformed id");
+    if (const char* wrong = readFields(words[3], m))
+      return answer(std::string("-ERR ") + wrong);
+    if (!plain(m.idempotency_key))
+      return answer("-ERR malformed k");
     m.give_up_at = Deadline::after(first_byte, m.span);
     ++clients.unanswered_;
     clients.on_put_(std::move(m), [self = shared_from_this()](const std::string& reply) {
       --self->clients.unanswered_;
-      if (self->open) self->answer(reply, reply[0] == '+' || reply.rfind("-BUSY", 0) == 0);
+      if (self->open)
+        self->answer(reply, reply[0] == '+' || reply.rfind("-BUSY", 0) == 0);
     });
   }
 
@@ -188,12 +215,16 @@
     out = reply + "\r\n";
     clients.watchDeadlines();
     asio::async_write(socket, asio::buffer(out), [self = shared_from_this()](error_code e, std::size_t) {
-      if (!self->open) return;
-      if (e) return self->close();
-      if (self->hangs_up) return self->hangUp();
+      if (!self->open)
+        return;
+      if (e)
+        return self->close();
+      if (self->hangs_up)
+        return self->hangUp();
       const bool more = !self->in.empty() || self->socket.available(e) > 0;
       const bool stays = self->clients.rules_.answered(self->id, more, monotonicNow());
-      if (!stays) return self->close();
+      if (!stays)
+        return self->close();
       self->in.empty() ? self->read() : self->next();
       self->clients.serveWaiting();
     });
@@ -207,7 +238,8 @@
   }
 
   void close() {
-    if (!open) return;
+    if (!open)
+      return;
     open = false;
     error_code ignored;
     socket.shutdown(tcp::socket::shutdown_both, ignored);
@@ -219,10 +251,13 @@
 Clients::Clients(asio::io_context& io, tcp::acceptor acceptor, Connections& rules, OnPut on_put)
     : acceptor_(std::move(acceptor)), look_(io), deadline_(io), rules_(rules), on_put_(std::move(on_put)) {
   acceptor_.non_blocking(true);
-  if (takeIn()) accept();
+  if (takeIn())
+    accept();
 }
 
-Clients::~Clients() { stop(); }
+Clients::~Clients() {
+  stop();
+}
 
 void Clients::stop() {
   paused_ = true;
@@ -230,7 +265,8 @@
   acceptor_.close(ignored);
   look_.cancel();
   const auto all = sessions_;
-  for (const auto& [id, s] : all) s->close();
+  for (const auto& [id, s] : all)
+    s->close();
   deadline_.cancel();
 }
 
@@ -248,14 +284,18 @@
 // No more connections than there is room for: the others wait in the kernel's queue. Guards against running
 // out of descriptors, which the calls to endpoints need too.
 void Clients::accept() {
-  if (accepting_ || paused_) return;
+  if (accepting_ || paused_)
+    return;
   accepting_ = true;
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code e) {
     accepting_ = false;
-    if (e || paused_) return accept();  // one that was paused went on meanwhile
+    if (e || paused_)
+      return accept();  // one that was paused went on meanwhile
     queue_.seenFull(monotonicNow());
-    if (!rules_.clientFits() && !makeRoom(false)) return lookLater();
-    if (takeIn()) accept();
+    if (!rules_.clientFits() && !makeRoom(false))
+      return lookLater();
+    if (takeIn())
+      accept();
   });
 }
 
@@ -269,12 +309,15 @@
       queue_.seenEmpty();
       return true;
     }
-    if (!e) accepted(std::move(s));
-    if (!e || e == asio::error::connection_aborted) continue;  // its peer gave up
+    if (!e)
+      accepted(std::move(s));
+    if (!e || e == asio::error::connection_aborted)
+      continue;  // its peer gave up
     // The machine may have fewer descriptors than were configured: as if the table were full.
     const bool none_left =
         e == asio::error::no_descriptors || e == boost::system::errc::too_many_files_open_in_system;
-    if (none_left && makeRoom(false)) return true;
+    if (none_left && makeRoom(false))
+      return true;
     lookLater();  // rather than spin
     return false;
   }
@@ -284,7 +327,8 @@
 void Clients::accepted(tcp::socket s) {
   error_code e;
   const tcp::endpoint peer = s.remote_endpoint(e);
-  if (e) return;  // gone already
+  if (e)
+    return;  // gone already
   s.set_option(tcp::no_delay(true), e);
   s.non_blocking(true, e);
   const Micros now = monotonicNow();
@@ -297,18 +341,24 @@
 
 // Looks again soon for what has no event: somebody who has been silent for long enough to go.
 void Clients::lookLater() {
-  if (looking_) return;
+  if (looking_)
+    return;
   looking_ = true;
   look_.expires_after(kLookForRoom);
   look_.async_wait([this](error_code stopped) {
     looking_ = false;
-    if (stopped) return;
-    if (rules_.readersWait()) makeRoom(true);
-    while (rules_.tooMany() && makeRoom(false)) {}
+    if (stopped)
+      return;
+    if (rules_.readersWait())
+      makeRoom(true);
+    while (rules_.tooMany() && makeRoom(false)) {
+    }
     serveWaiting();
     const std::string news = rules_.pressureNews(monotonicNow());
-    if (!news.empty()) std::cerr << news << '\n';
-    if (rules_.readersWait() || rules_.tooMany() || rules_.underPressure()) lookLater();
+    if (!news.empty())
+      std::cerr << news << '\n';
+    if (rules_.readersWait() || rules_.tooMany() || rules_.underPressure())
+      lookLater();
     accept();
   });
 }
@@ -318,8 +368,10 @@
   for (int i = 0; i < kLooks; ++i) {
     const Micros now = monotonicNow();
     const auto id = for_bytes ? rules_.nextToGoForBytes(now) : rules_.nextToGo(now);
-    if (!id) break;
-    if (unread(*id)) continue;
+    if (!id)
+      break;
+    if (unread(*id))
+      continue;
     rules_.madeRoom(*id, now);
     lookLater();
     sessions_.at(*id)->close();
@@ -331,7 +383,8 @@
 // It has sent something that was not read yet: it does not go now.
 bool Clients::unread(Connections::Id id) {
   error_code e;
-  if (sessions_.at(id)->socket.available(e) == 0) return false;
+  if (sessions_.at(id)->socket.available(e) == 0)
+    return false;
   rules_.unread(id);
   return true;
 }
@@ -344,41 +397,50 @@
 }
 
 void Clients::serveWaiting() {
-  if (serving_) return;
+  if (serving_)
+    return;
   serving_ = true;
-  while (const auto id = rules_.nextTurn()) sessions_.at(*id)->turn();
-  while (const auto id = rules_.nextReader()) sessions_.at(*id)->take();
+  while (const auto id = rules_.nextTurn())
+    sessions_.at(*id)->turn();
+  while (const auto id = rules_.nextReader())
+    sessions_.at(*id)->take();
   serving_ = false;
 }
 
 void Clients::watchDeadlines() {
   const Micros next = rules_.nextClientDeadline();
-  if (next >= watched_) return;  // the timer looks earlier
+  if (next >= watched_)
+    return;  // the timer looks earlier
   watched_ = next;
   deadline_.expires_after(std::chrono::microseconds(std::max<Micros>(0, next - monotonicNow())));
   deadline_.async_wait([this](error_code stopped) {
-    if (stopped) return;
+    if (stopped)
+      return;
     watched_ = Connections::kNever;
     const Micros now = monotonicNow();
     for (const Connections::Id id : rules_.overdueClients(now)) {
       const auto it = sessions_.find(id);
-      if (it == sessions_.end()) continue;
+      if (it == sessions_.end())
+        continue;
       error_code none;
-      if (rules_.endsOverdue(id, it->second->socket.available(none) > 0, now)) it->second->close();
+      if (rules_.endsOverdue(id, it->second->socket.available(none) > 0, now))
+        it->second->close();
     }
     watchDeadlines();
   });
 }
 
 void Clients::budgetChanged() {
-  if (rules_.tooMany()) lookLater();
+  if (rules_.tooMany())
+    lookLater();
   serveWaiting();
   accept();
 }
 
 void Clients::drain() {
   for (const Connections::Id id : rules_.drain(monotonicNow()))
-    if (!unread(id)) sessions_.at(id)->close();
+    if (!unread(id))
+      sessions_.at(id)->close();
   watchDeadlines();
 }
 
--- a/src/network/client_server.h
+++ b/src/network/client_server.h
@@ -11,8 +11,8 @@
 #include <string>
 
 #include "network/connections.h"
-#include "storage/journal_format.h"
 #include "network/queue_age.h"
+#include "storage/journal_format.h"
 
 namespace delivery {
 
--- a/src/network/connections.cpp
+++ b/src/network/connections.cpp
@@ -66,7 +66,8 @@
 std::vector<Connections::Id> Connections::overdue(const Table& t, Micros now) {
   std::vector<Id> out;
   for (const auto& [at, id] : t.deadlines) {
-    if (at > now) break;
+    if (at > now)
+      break;
     out.push_back(id);
   }
   return out;
@@ -80,12 +81,14 @@
   Connection& c = t.all.at(id);
   t.deadlines.erase({c.deadline, id});
   c.deadline = at;
-  if (at != kNever) t.deadlines.emplace(at, id);
+  if (at != kNever)
+    t.deadlines.emplace(at, id);
 }
 
 void Connections::drop(Table& t, Id id) {
   const auto it = t.all.find(id);
-  if (it == t.all.end()) return;
+  if (it == t.all.end())
+    return;
   t.deadlines.erase({it->second.deadline, id});
   t.all.erase(it);
 }
@@ -112,11 +115,13 @@
 // The first bytes are free for all, so that those who fill the pool with long requests don't hold up others.
 std::size_t Connections::mayRead(Id id) {
   Connection& c = clients_.all.at(id);
-  if (c.state == State::closing) return kFreeBytes;  // thrown away
+  if (c.state == State::closing)
+    return kFreeBytes;  // thrown away
   const std::size_t left = budget_.buffered > pooled_ ? budget_.buffered - pooled_ : 0;
   const std::size_t free = c.bytes < kFreeBytes ? kFreeBytes - c.bytes : 0;
   const std::size_t most = std::min(kLongestRequest - std::min(c.bytes, kLongestRequest), left + free);
-  if (most == 0 && !c.stalled) stalled_.push_back(id);
+  if (most == 0 && !c.stalled)
+    stalled_.push_back(id);
   c.stalled = most == 0;
   return most;
 }
@@ -125,7 +130,8 @@
   while (!stalled_.empty()) {
     const auto it = clients_.all.find(stalled_.front());
     if (it != clients_.all.end() && it->second.stalled) {
-      if (pooled_ >= budget_.buffered) return std::nullopt;
+      if (pooled_ >= budget_.buffered)
+        return std::nullopt;
       it->second.stalled = false;
       stalled_.pop_front();
       return it->first;
@@ -139,13 +145,15 @@
   Connection& c = clients_.all.at(id);
   c.since = now;
   c.unread = false;
-  if (c.state != State::closing) setBytes(c, c.bytes + bytes);
+  if (c.state != State::closing)
+    setBytes(c, c.bytes + bytes);
 }
 
 // Not prolonged by what drips in, nor by a request begun late: a deadline that is nearer stays.
 void Connections::partial(Id id, Micros now) {
   Connection& c = clients_.all.at(id);
-  if (c.state == State::reading) return;
+  if (c.state == State::reading)
+    return;
   c.state = State::reading;
   setDeadline(clients_, id, std::min(c.deadline, now + kRestOfRequest));
 }
@@ -170,7 +178,8 @@
     const Id id = turns_.front();
     turns_.pop_front();
     const auto it = clients_.all.find(id);
-    if (it == clients_.all.end()) continue;
+    if (it == clients_.all.end())
+      continue;
     it->second.open_request = true;
     ++open_requests_;
     return id;
@@ -178,7 +187,9 @@
   return std::nullopt;
 }
 
-void Connections::taken(Id id, std::size_t left) { setBytes(clients_.all.at(id), left); }
+void Connections::taken(Id id, std::size_t left) {
+  setBytes(clients_.all.at(id), left);
+}
 
 void Connections::answering(Id id, bool useful, Micros now) {
   Connection& c = clients_.all.at(id);
@@ -188,7 +199,8 @@
 }
 
 void Connections::endRequest(Connection& c) {
-  if (!c.open_request) return;
+  if (!c.open_request)
+    return;
   c.open_request = false;
   --open_requests_;
 }
@@ -197,7 +209,8 @@
   Connection& c = clients_.all.at(id);
   endRequest(c);
   c.since = now;
-  if (c.state == State::closing) return true;  // the deadline for its answer covers what is thrown away, too
+  if (c.state == State::closing)
+    return true;  // the deadline for its answer covers what is thrown away, too
   c.state = State::idle;
   setDeadline(clients_, id, now + (c.useful ? kLongestRest : kFirstRequest));
   return !draining_ || more_came;
@@ -216,21 +229,26 @@
 bool Connections::endsOverdue(Id id, bool input_waits, Micros now) {
   Connection& c = clients_.all.at(id);
   const bool reads = c.state == State::fresh || c.state == State::reading || c.state == State::idle;
-  if (!reads || !input_waits || c.stalled || c.read_late) return true;
+  if (!reads || !input_waits || c.stalled || c.read_late)
+    return true;
   c.read_late = true;
   setDeadline(clients_, id, now + kReadsLate);
   return false;
 }
 
-void Connections::unread(Id id) { clients_.all.at(id).unread = true; }
+void Connections::unread(Id id) {
+  clients_.all.at(id).unread = true;
+}
 
 void Connections::clientGone(Id id) {
   const auto it = clients_.all.find(id);
-  if (it == clients_.all.end()) return;
+  if (it == clients_.all.end())
+    return;
   Connection& c = it->second;
   endRequest(c);
   setBytes(c, 0);
-  if (--c.of->connections == 0) peers_.erase(c.peer);
+  if (--c.of->connections == 0)
+    peers_.erase(c.peer);
   drop(clients_, id);
 }
 
@@ -238,7 +256,8 @@
 // answered and handed in nothing holds a place no longer than who sent nothing: guards against a crowd that
 // asks once and stays, behind which clients would wait for longer than they wait for an answer.
 Micros Connections::mayGoAfter(const Connection& c) {
-  if (c.unread) return kNever;  // it will be read in its turn: guards against looking at it again and again
+  if (c.unread)
+    return kNever;  // it will be read in its turn: guards against looking at it again and again
   switch (c.state) {
     case State::fresh:
       return kNothingSent;
@@ -268,15 +287,20 @@
   };
   const std::pair<const Id, Connection>* first = nullptr;
   std::size_t most = 0;
-  for (const auto& [address, peer] : peers_) most = std::max(most, peer.connections);
+  for (const auto& [address, peer] : peers_)
+    most = std::max(most, peer.connections);
   for (const auto& entry : clients_.all) {
     const Connection& c = entry.second;
     Micros silent = mayGoAfter(c);
-    if (silent == kRested && c.of->connections < most) silent = kRestedWithFewer;
-    if (silent == kNever || now - c.since < silent) continue;
-    if (!first || order(entry.first, c) < order(first->first, first->second)) first = &entry;
+    if (silent == kRested && c.of->connections < most)
+      silent = kRestedWithFewer;
+    if (silent == kNever || now - c.since < silent)
+      continue;
+    if (!first || order(entry.first, c) < order(first->first, first->second))
+      first = &entry;
   }
-  if (!first) return std::nullopt;
+  if (!first)
+    return std::nullopt;
   // A client that rests is kept while one that is of no use may go soon.
   const auto stranger = [&](const auto& entry) {
     const Connection& c = entry.second;
@@ -295,8 +319,10 @@
   const std::pair<const Id, Connection>* first = nullptr;
   for (const auto& entry : clients_.all) {
     const Connection& c = entry.second;
-    if (c.state != State::reading || pooled(c.bytes) == 0 || c.unread || now - c.since < kHalfSent) continue;
-    if (!first || order(entry.first, c) > order(first->first, first->second)) first = &entry;
+    if (c.state != State::reading || pooled(c.bytes) == 0 || c.unread || now - c.since < kHalfSent)
+      continue;
+    if (!first || order(entry.first, c) > order(first->first, first->second))
+      first = &entry;
   }
   return first ? std::optional<Id>(first->first) : std::nullopt;
 }
@@ -307,8 +333,10 @@
   std::vector<Id> out;
   for (auto& [id, c] : clients_.all) {
     const bool just_come = c.state == State::fresh && now - c.since < kJustCome;
-    if (just_come) setDeadline(clients_, id, std::min(c.deadline, now + kFirstWhenDraining));
-    else if (c.state == State::fresh || c.state == State::idle) out.push_back(id);
+    if (just_come)
+      setDeadline(clients_, id, std::min(c.deadline, now + kFirstWhenDraining));
+    else if (c.state == State::fresh || c.state == State::idle)
+      out.push_back(id);
   }
   return out;
 }
@@ -323,17 +351,20 @@
   last_made_room_ = now;
   ++made_room_;
   const auto it = clients_.all.find(id);
-  if (it != clients_.all.end()) ++made_room_of_[it->second.peer];
+  if (it != clients_.all.end())
+    ++made_room_of_[it->second.peer];
 }
 
 std::string Connections::pressureNews(Micros now) {
-  if (pressure_from_ == kNever) return "";
+  if (pressure_from_ == kNever)
+    return "";
   if (!pressure_told_) {
     pressure_told_ = true;
     return "connections: " + std::to_string(clients_.all.size()) + " of " + std::to_string(budget_.clients) +
            " from " + std::to_string(peers_.size()) + " peers, closing some to make room";
   }
-  if (now - last_made_room_ < kPressureOver) return "";
+  if (now - last_made_room_ < kPressureOver)
+    return "";
   const auto most = std::max_element(made_room_of_.begin(), made_room_of_.end(),
                                      [](const auto& a, const auto& b) { return a.second < b.second; });
   const std::string of =
@@ -348,7 +379,8 @@
 // ---- Callers at the control address
 
 std::optional<Connections::Id> Connections::callerToGo() const {
-  if (count(callers_) < Budget::kMostCallers) return std::nullopt;
+  if (count(callers_) < Budget::kMostCallers)
+    return std::nullopt;
   return callers_.all.begin()->first;  // the oldest: numbers go up
 }
 
@@ -363,7 +395,8 @@
 
 bool Connections::mayOpen(const std::string& endpoint) const {
   const auto it = endpoints_.find(endpoint);
-  if (it != endpoints_.end() && it->second.opening >= budget_.handshakes) return false;
+  if (it != endpoints_.end() && it->second.opening >= budget_.handshakes)
+    return false;
   return !allUsed();
 }
 
@@ -411,7 +444,8 @@
 void Connections::forget(const std::string& endpoint) {
   const auto it = endpoints_.find(endpoint);
   const ToEndpoint& c = it->second;
-  if (c.opening == 0 && c.in_call == 0 && c.idle == 0) endpoints_.erase(it);
+  if (c.opening == 0 && c.in_call == 0 && c.idle == 0)
+    endpoints_.erase(it);
 }
 
 std::optional<std::string> Connections::idleToCloseFor(const std::string& endpoint) const {
@@ -428,7 +462,8 @@
   std::int64_t most = own == endpoints_.end() ? 0 : own->second.idle;
   std::optional<std::string> first;
   for (const auto& [endpoint, c] : endpoints_) {
-    if (c.idle <= most) continue;
+    if (c.idle <= most)
+      continue;
     most = c.idle;
     first = endpoint;
   }
--- a/src/network/control_server.cpp
+++ b/src/network/control_server.cpp
@@ -30,12 +30,16 @@
 
   void read() {
     socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](error_code e, std::size_t n) {
-      if (!self->open) return;
-      if (e) return e == asio::error::eof ? self->answer("ERR no whole line") : self->close();
+      if (!self->open)
+        return;
+      if (e)
+        return e == asio::error::eof ? self->answer("ERR no whole line") : self->close();
       self->in.append(self->piece, n);
       const auto end = self->in.find('\n');
-      if (std::min(end, self->in.size()) > kLongestLine) return self->answer("ERR line too long");
-      if (end == std::string::npos) return self->read();
+      if (std::min(end, self->in.size()) > kLongestLine)
+        return self->answer("ERR line too long");
+      if (end == std::string::npos)
+        return self->read();
       self->in.resize(end > 0 && self->in[end - 1] == '\r' ? end - 1 : end);
       self->answer(self->control.on_call_(self->in));
     });
@@ -44,8 +48,10 @@
   void answer(const std::string& reply) {
     out = reply + "\n";
     asio::async_write(socket, asio::buffer(out), [self = shared_from_this()](error_code e, std::size_t) {
-      if (!self->open) return;
-      if (e) return self->close();
+      if (!self->open)
+        return;
+      if (e)
+        return self->close();
       error_code ignored;
       self->socket.shutdown(tcp::socket::shutdown_send, ignored);
       self->discard();
@@ -55,13 +61,15 @@
   // Reads on until the caller ends: a close with input unread would take the reply with it.
   void discard() {
     socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](error_code e, std::size_t) {
-      if (!self->open) return;
+      if (!self->open)
+        return;
       e ? self->close() : self->discard();
     });
   }
 
   void close() {
-    if (!open) return;
+    if (!open)
+      return;
     const auto keep = shared_from_this();
     end();
     control.sessions_.erase(id);
@@ -80,22 +88,26 @@
 }
 
 Control::~Control() {
-  for (const auto& [id, s] : sessions_) s->end();
+  for (const auto& [id, s] : sessions_)
+    s->end();
 }
 
 void Control::accept() {
   acceptor_.async_accept([this](error_code e, tcp::socket s) {
-    if (e == asio::error::operation_aborted) return;
+    if (e == asio::error::operation_aborted)
+      return;
     if (e &&
         e != asio::error::connection_aborted) {  // out of descriptors, say: try again soon rather than spin
       pause_.expires_after(kRetryAccept);
       pause_.async_wait([this](error_code stopped) {
-        if (!stopped) accept();
+        if (!stopped)
+          accept();
       });
       return;
     }
     if (!e) {
-      if (const auto oldest = rules_.callerToGo()) sessions_.at(*oldest)->close();
+      if (const auto oldest = rules_.callerToGo())
+        sessions_.at(*oldest)->close();
       const Connections::Id id = rules_.callerCame(monotonicNow());
       const auto session = sessions_.emplace(id, std::make_shared<Session>(*this, std::move(s), id)).first;
       session->second->read();
@@ -107,15 +119,18 @@
 
 void Control::watchDeadlines() {
   const Micros next = rules_.nextCallerDeadline();
-  if (watching_ || next == Connections::kNever) return;
+  if (watching_ || next == Connections::kNever)
+    return;
   watching_ = true;
   deadline_.expires_after(std::chrono::microseconds(std::max<Micros>(0, next - monotonicNow())));
   deadline_.async_wait([this](error_code stopped) {
-    if (stopped) return;
+    if (stopped)
+      return;
     watching_ = false;
     for (const Connections::Id id : rules_.overdueCallers(monotonicNow())) {
       const auto it = sessions_.find(id);
-      if (it != sessions_.end()) it->second->close();
+      if (it != sessions_.end())
+        it->second->close();
     }
     watchDeadlines();
   });
--- a/src/network/discovery_client.cpp
+++ b/src/network/discovery_client.cpp
@@ -30,14 +30,16 @@
 }  // namespace
 
 EndpointList::News EndpointList::read(const json& answer) {
-  if (!answer.is_object()) bad("the list is not an object");
+  if (!answer.is_object())
+    bad("the list is not an object");
   const std::int64_t index = integer(answer, "index");
   const bool whole = truth(answer, "snapshot", false);
   News news;
   news.kind = whole ? ListKind::full : ListKind::delta;
   std::map<std::string, json> changed;
   for (const json& e : array(answer, "endpoints")) {
-    if (!e.is_object()) bad("an endpoint is not an object");
+    if (!e.is_object())
+      bad("an endpoint is not an object");
     ListedEndpoint l;
     l.endpoint.id = text(e, "name");
     l.endpoint.zone = text(e, "zone", "");
@@ -49,10 +51,13 @@
     changed[l.endpoint.id] = e;
     news.entries.push_back(std::move(l));
   }
-  if (whole) entries_.clear();
+  if (whole)
+    entries_.clear();
   for (auto& [name, e] : changed) {
-    if (e["status"] == "Gone") entries_.erase(name);
-    else entries_[name] = std::move(e);
+    if (e["status"] == "Gone")
+      entries_.erase(name);
+    else
+      entries_[name] = std::move(e);
   }
   index_ = index;
   return news;
@@ -60,7 +65,8 @@
 
 json EndpointList::all() const {
   json list = json::array();
-  for (const auto& [name, e] : entries_) list.push_back(e);
+  for (const auto& [name, e] : entries_)
+    list.push_back(e);
   return {{"index", index_}, {"snapshot", true}, {"endpoints", std::move(list)}};
 }
 
@@ -68,7 +74,8 @@
     : io_(io), peer_(std::move(peer)), host_(std::move(host)), timer_(io) {}
 
 void Agent::ask(HttpRequest request, Micros limit, HttpConnection::Done done) {
-  if (stopped_) return;
+  if (stopped_)
+    return;
   if (!connection_ || !connection_->reusable())
     connection_ = std::make_unique<HttpConnection>(io_, peer_, host_, kListLimit);
   connection_->exchange(std::move(request), kConnect, Deadline::after(monotonicNow(), limit),
@@ -77,10 +84,12 @@
 
 void Agent::later(Micros pause, std::function<void()> then) {
   connection_.reset();
-  if (stopped_) return;
+  if (stopped_)
+    return;
   timer_.expires_after(std::chrono::microseconds(pause));
   timer_.async_wait([then = std::move(then)](const boost::system::error_code& e) {
-    if (!e) then();
+    if (!e)
+      then();
   });
 }
 
@@ -112,10 +121,12 @@
   HttpRequest r;
   r.method = "GET";
   r.target = "/v1/endpoints";
-  if (from_ >= 0) r.target += "?from=" + std::to_string(from_) + "&hold_ms=" + std::to_string(kHold / 1000);
+  if (from_ >= 0)
+    r.target += "?from=" + std::to_string(from_) + "&hold_ms=" + std::to_string(kHold / 1000);
   const Micros limit = (from_ >= 0 ? kHold : 0) + kSilence;
   agent_.ask(std::move(r), limit, [this](const HttpAnswer& a) {
-    if (a.how != Exchanged::answered || a.status != 200 || !a.whole) return askLater();
+    if (a.how != Exchanged::answered || a.status != 200 || !a.whole)
+      return askLater();
     try {
       from_ = on_answer_(json::parse(a.body));
     } catch (const std::exception& e) {
@@ -124,7 +135,8 @@
       from_ = -1;
       return askLater();
     }
-    if (failures_ > 0) std::cerr << "discovery: answers again after " << failures_ << " failed calls\n";
+    if (failures_ > 0)
+      std::cerr << "discovery: answers again after " << failures_ << " failed calls\n";
     failures_ = 0;
     ask();
   });
@@ -132,14 +144,16 @@
 
 // The last list stays in force meanwhile.
 void Watcher::askLater() {
-  if (failures_++ == 0) std::cerr << "discovery: a call failed, asking again with growing pauses\n";
+  if (failures_++ == 0)
+    std::cerr << "discovery: a call failed, asking again with growing pauses\n";
   const Micros pause = std::min(kLongestPause, kPause << std::min(failures_ - 1, 8));
   agent_.later(std::uniform_int_distribution<Micros>(pause / 2, pause * 3 / 2)(random_), [this] { ask(); });
 }
 
 void Notices::owe(const std::string& id, const Notice& notice) {
   owed_.emplace_back(id, notice);
-  if (out_ == 0 && !waiting_) send();
+  if (out_ == 0 && !waiting_)
+    send();
 }
 
 void Notices::moveTo(tcp::endpoint peer, std::string host) {
@@ -150,7 +164,8 @@
 }
 
 void Notices::send() {
-  if (owed_.empty()) return;
+  if (owed_.empty())
+    return;
   out_ = std::min(owed_.size(), most_);
   HttpRequest r;
   r.method = "POST";
@@ -171,7 +186,8 @@
       most_ = 1;
       return send();
     }
-    if (unreadable) std::cerr << "notice that can't be read, of message " << owed_.front().first << '\n';
+    if (unreadable)
+      std::cerr << "notice that can't be read, of message " << owed_.front().first << '\n';
     if (!unreadable && (a.how != Exchanged::answered || a.status / 100 != 2)) {
       waiting_ = true;
       return agent_.later(kNoticePause, [this] {
@@ -183,7 +199,8 @@
       on_told_(owed_.front().first);
       owed_.pop_front();
     }
-    if (owed_.empty()) most_ = 64;
+    if (owed_.empty())
+      most_ = 64;
     send();
   });
 }
--- a/src/network/discovery_client.h
+++ b/src/network/discovery_client.h
@@ -9,8 +9,8 @@
 #include <memory>
 #include <random>
 
-#include "protocol/json_fields.h"
 #include "network/http_connection.h"
+#include "protocol/json_fields.h"
 #include "storage/journal.h"
 
 namespace delivery {
--- a/src/network/endpoint_pool.cpp
+++ b/src/network/endpoint_pool.cpp
@@ -18,10 +18,14 @@
 // The Result of each answer, by the protocol's table. What is not in it was at least answered: an error. One
 // that breaks off is not to be read, and may have run, but for a first line that says 200.
 Result resultOf(const HttpAnswer& a) {
-  if (a.how == Exchanged::not_written) return Result::connect_failed;
-  if (a.how == Exchanged::broken) return Result::reset;
-  if (a.how == Exchanged::timed_out) return Result::timeout;
-  if (!a.whole && a.status != 200) return Result::error;
+  if (a.how == Exchanged::not_written)
+    return Result::connect_failed;
+  if (a.how == Exchanged::broken)
+    return Result::reset;
+  if (a.how == Exchanged::timed_out)
+    return Result::timeout;
+  if (!a.whole && a.status != 200)
+    return Result::error;
   switch (a.status) {
     case 200:
       return Result::ok;
@@ -41,7 +45,8 @@
 std::optional<double> numberIn(const std::string& s) {
   char* end = nullptr;
   const double v = std::strtod(s.c_str(), &end);
-  if (end == s.c_str() || !std::isfinite(v)) return std::nullopt;
+  if (end == s.c_str() || !std::isfinite(v))
+    return std::nullopt;
   return v;
 }
 
@@ -49,16 +54,19 @@
 Micros waitOf(const HttpAnswer& a) {
   const std::string* told = a.status == 429 || a.status == 503 ? a.field("retry-after") : nullptr;
   const auto seconds = told ? numberIn(*told) : std::nullopt;
-  if (!seconds || *seconds <= 0) return 0;
+  if (!seconds || *seconds <= 0)
+    return 0;
   return static_cast<Micros>(std::ceil(std::min(*seconds * 1e6, static_cast<double>(kLongestWait))));
 }
 
 std::optional<LimitReport> reportOf(const HttpAnswer& a) {
   const std::string* told = a.field("x-pressure");
-  if (!told) return std::nullopt;
+  if (!told)
+    return std::nullopt;
   auto value = [&](const std::string& name) -> double {
     const auto at = ("," + *told).find("," + name + "=");
-    if (at == std::string::npos) return 0;
+    if (at == std::string::npos)
+      return 0;
     return numberIn(told->substr(at + name.size() + 1)).value_or(0);
   };
   return LimitReport{value("x0"), value("x1")};
@@ -78,7 +86,8 @@
 void Endpoints::address(const std::string& endpoint, const std::string& address, bool apart) {
   Peer& known = peers_[endpoint];
   known.apart = apart;
-  if (known.address == address) return;
+  if (known.address == address)
+    return;
   known.address = address;
   closeIdle(endpoint);
 }
@@ -91,7 +100,8 @@
   call.destination = m.destination;
   call.began = monotonicNow();
   call.until = until;
-  if (!start(id, call)) wait(id, call);
+  if (!start(id, call))
+    wait(id, call);
 }
 
 // Reuse first; else a connection is opened if the endpoint and the budget have room for one more.
@@ -111,8 +121,10 @@
   HttpConnection::Heard heard;
   heard.head = [this, id](const HttpAnswer& a) { headOf(id, a); };
   if (!call.connection) {
-    if (const auto other = rules_.idleToCloseFor(call.endpoint)) closeOldest(*other);
-    if (!rules_.mayOpen(call.endpoint)) return false;
+    if (const auto other = rules_.idleToCloseFor(call.endpoint))
+      closeOldest(*other);
+    if (!rules_.mayOpen(call.endpoint))
+      return false;
     try {
       call.connection =
           std::make_unique<HttpConnection>(io_, parseAddress(call.address), call.address, kBodyLimit);
@@ -137,7 +149,8 @@
   r.method = "POST";
   r.target = "/hook";
   r.fields.emplace_back("X-Txn", m.id);
-  if (!m.idempotency_key.empty()) r.fields.emplace_back("Idempotency-Key", m.idempotency_key);
+  if (!m.idempotency_key.empty())
+    r.fields.emplace_back("Idempotency-Key", m.idempotency_key);
   r.time_left_field = "X-Remaining-Ms";
   r.body = m.body;
   call.connection->exchange(
@@ -154,7 +167,8 @@
       std::min(limits_.dial_timeout, std::max<Micros>(0, call.until.left(call.began)))));
   call.patience->async_wait([this, id](const boost::system::error_code& e) {
     const auto it = calls_.find(id);
-    if (e || it == calls_.end() || it->second.connection) return;
+    if (e || it == calls_.end() || it->second.connection)
+      return;
     const Micros began = it->second.began;
     calls_.erase(it);
     report(id, Result::connect_failed, began);
@@ -167,8 +181,10 @@
   waiting.swap(waiting_);
   for (const CallId& id : waiting) {
     const auto it = calls_.find(id);
-    if (it == calls_.end() || it->second.connection) continue;
-    if (!start(id, it->second)) waiting_.push_back(id);
+    if (it == calls_.end() || it->second.connection)
+      continue;
+    if (!start(id, it->second))
+      waiting_.push_back(id);
   }
 }
 
@@ -188,13 +204,15 @@
 
 std::vector<std::string> Endpoints::known() const {
   std::vector<std::string> names;
-  for (const auto& [endpoint, peer] : peers_) names.push_back(endpoint);
+  for (const auto& [endpoint, peer] : peers_)
+    names.push_back(endpoint);
   return names;
 }
 
 void Endpoints::drained(const std::string& endpoint) {
   withdrawUnwritten([&](const Call& c) { return c.endpoint == endpoint; });
-  if (on_held_) on_held_(endpoint, std::nullopt);
+  if (on_held_)
+    on_held_(endpoint, std::nullopt);
   startWaiting();
 }
 
@@ -203,41 +221,51 @@
   const bool apart = peers_[endpoint].apart;
   withdrawUnwritten(
       [&](const Call& c) { return apart ? c.endpoint == endpoint : c.destination == destination; });
-  if (on_held_) on_held_(endpoint, destination);
+  if (on_held_)
+    on_held_(endpoint, destination);
 }
 
 void Endpoints::letGo(Call& call) {
-  if (call.on == Call::On::opening) rules_.failedToOpen(call.endpoint);
-  if (call.on == Call::On::open) rules_.callClosed(call.endpoint);
+  if (call.on == Call::On::opening)
+    rules_.failedToOpen(call.endpoint);
+  if (call.on == Call::On::open)
+    rules_.callClosed(call.endpoint);
   call.on = Call::On::none;
 }
 
 void Endpoints::over(const CallId& id, const HttpAnswer& answer) {
   auto it = calls_.find(id);
-  if (it == calls_.end()) return;
+  if (it == calls_.end())
+    return;
   if (answer.stale && !it->second.called_off) {  // nothing of it was written: it goes on another connection
     letGo(it->second);
     it->second.connection.reset();
-    if (!start(id, it->second)) wait(id, it->second);
+    if (!start(id, it->second))
+      wait(id, it->second);
     return;
   }
   Outcome o;
   o.id = id.first;
   o.attempt = id.second;
   o.result = resultOf(answer);
-  if (o.result == Result::timeout && it->second.called_off) o.result = Result::cancelled;
+  if (o.result == Result::timeout && it->second.called_off)
+    o.result = Result::cancelled;
   o.finished = answer.how == Exchanged::answered && (answer.status == 200 || answer.status == 410);
-  if (o.result == Result::full) o.wait = waitOf(answer);
-  else headOf(id, answer);  // cut off, or late: it may have run, and told a wait all the same
+  if (o.result == Result::full)
+    o.wait = waitOf(answer);
+  else
+    headOf(id, answer);  // cut off, or late: it may have run, and told a wait all the same
   o.rtt = std::max<Micros>(1, monotonicNow() - it->second.began);
   o.report = reportOf(answer);
   // The module keeps its own count of idle connections: one is kept after the same outcomes as there.
   const bool kept = o.result == Result::ok || o.result == Result::error || o.result == Result::full;
   Call call = std::move(it->second);
   calls_.erase(it);
-  if (kept) keep(call);
+  if (kept)
+    keep(call);
   letGo(call);
-  if (o.wait > 0) toldWait(call.endpoint, call.destination);
+  if (o.wait > 0)
+    toldWait(call.endpoint, call.destination);
   startWaiting();
   on_outcome_(std::move(o));
 }
@@ -246,7 +274,8 @@
 void Endpoints::headOf(const CallId& id, const HttpAnswer& head) {
   const auto it = calls_.find(id);
   const Micros wait = it == calls_.end() ? 0 : waitOf(head);
-  if (wait <= 0 || it->second.wait_heard) return;
+  if (wait <= 0 || it->second.wait_heard)
+    return;
   it->second.wait_heard = true;
   toldWait(it->second.endpoint, it->second.destination);
   Outcome o;
@@ -273,7 +302,8 @@
 // What has been written may have been answered: its connection tells that before it is closed.
 bool Endpoints::cancel(const std::string& id, int attempt) {
   auto it = calls_.find({id, attempt});
-  if (it == calls_.end()) return untold_.count({id, attempt}) > 0;
+  if (it == calls_.end())
+    return untold_.count({id, attempt}) > 0;
   Call& call = it->second;
   if (call.connection && call.connection->written()) {
     call.called_off = true;
@@ -289,19 +319,22 @@
 
 std::vector<Endpoints::CallId> Endpoints::calls() const {
   std::vector<CallId> out;
-  for (const auto& [id, call] : calls_) out.push_back(id);
+  for (const auto& [id, call] : calls_)
+    out.push_back(id);
   out.insert(out.end(), untold_.begin(), untold_.end());
   return out;
 }
 
 void Endpoints::closeAllIdle() {
-  for (const auto& [endpoint, idle] : idle_) rules_.idleClosed(endpoint, idle.size());
+  for (const auto& [endpoint, idle] : idle_)
+    rules_.idleClosed(endpoint, idle.size());
   idle_.clear();
 }
 
 void Endpoints::closeIdle(const std::string& endpoint) {
   auto it = idle_.find(endpoint);
-  if (it == idle_.end()) return;
+  if (it == idle_.end())
+    return;
   rules_.idleClosed(endpoint, it->second.size());
   idle_.erase(it);
 }
@@ -312,15 +345,18 @@
 }
 
 void Endpoints::budgetChanged() {
-  while (const auto endpoint = rules_.idleTooMany()) closeOldest(*endpoint);
+  while (const auto endpoint = rules_.idleTooMany())
+    closeOldest(*endpoint);
   startWaiting();
 }
 
 void Endpoints::keep(Call& call) {
-  if (!call.connection->reusable() || call.address != peers_[call.endpoint].address) return;
+  if (!call.connection->reusable() || call.address != peers_[call.endpoint].address)
+    return;
   if (!rules_.mayKeep()) {
     const auto other = rules_.idleToGo(call.endpoint);
-    if (!other) return;
+    if (!other)
+      return;
     closeOldest(*other);
   }
   rules_.kept(call.endpoint);
@@ -331,19 +367,24 @@
 
 // Closes what has idled almost as long as an endpoint allows. Guards against a call that crosses the close.
 void Endpoints::sweep() {
-  if (sweeping_ || limits_.conn_idle <= 0) return;
+  if (sweeping_ || limits_.conn_idle <= 0)
+    return;
   const Micros most = limits_.conn_idle - limits_.conn_idle / 20;
   Micros next = 0;
   const Micros now = monotonicNow();
   for (auto& [endpoint, idle] : idle_) {
-    while (!idle.empty() && now - idle.front().since >= most) closeOldest(endpoint);
-    if (!idle.empty() && (next == 0 || idle.front().since + most < next)) next = idle.front().since + most;
+    while (!idle.empty() && now - idle.front().since >= most)
+      closeOldest(endpoint);
+    if (!idle.empty() && (next == 0 || idle.front().since + most < next))
+      next = idle.front().since + most;
   }
-  if (next == 0) return;
+  if (next == 0)
+    return;
   sweeping_ = true;
   sweeper_.expires_after(std::chrono::microseconds(next - now));
   sweeper_.async_wait([this](const boost::system::error_code& e) {
-    if (e) return;
+    if (e)
+      return;
     sweeping_ = false;
     sweep();
   });
--- a/src/network/http_connection.cpp
+++ b/src/network/http_connection.cpp
@@ -23,14 +23,16 @@
 
 std::string lower(std::string s) {
   for (char& c : s)
-    if (c >= 'A' && c <= 'Z') c = static_cast<char>(c - 'A' + 'a');
+    if (c >= 'A' && c <= 'Z')
+      c = static_cast<char>(c - 'A' + 'a');
   return s;
 }
 }  // namespace
 
 const std::string* HttpAnswer::field(const std::string& name) const {
   for (const auto& [n, value] : fields)
-    if (n == name) return &value;
+    if (n == name)
+      return &value;
   return nullptr;
 }
 
@@ -64,7 +66,8 @@
     request.method_string(r.method);
     request.target(r.target);
     request.set(http::field::host, host);
-    for (auto& [name, value] : r.fields) request.set(name, value);
+    for (auto& [name, value] : r.fields)
+      request.set(name, value);
     request.body() = std::move(r.body);
     request.prepare_payload();
     expectAnswer();
@@ -80,16 +83,20 @@
     if (open) {
       setTimer(mine, left);
       asio::post(socket.get_executor(), [self = shared_from_this(), mine] {
-        if (mine == self->turn) self->write(mine);
+        if (mine == self->turn)
+          self->write(mine);
       });
       return;
     }
     setTimer(mine, std::min(connect_limit, left));
     socket.async_connect(peer, [self = shared_from_this(), mine](error_code e) {
-      if (mine != self->turn) return;
-      if (e) return self->finish(Exchanged::not_written);
+      if (mine != self->turn)
+        return;
+      if (e)
+        return self->finish(Exchanged::not_written);
       self->open = true;
-      if (self->heard.connected) self->heard.connected();
+      if (self->heard.connected)
+        self->heard.connected();
       error_code ignored;
       self->socket.set_option(tcp::no_delay(true), ignored);
       self->setTimer(mine, self->until.left(monotonicNow()));
@@ -108,7 +115,8 @@
   // are few. Guards the loop against an endpoint that sends nothing else.
   bool interim() {
     const unsigned status = parser->get().result_int();
-    if (status < 100 || status > 199 || status == 101 || ++interims > kMostInterim) return false;
+    if (status < 100 || status > 199 || status == 101 || ++interims > kMostInterim)
+      return false;
     expectAnswer();
     return true;
   }
@@ -117,8 +125,10 @@
     const std::uint64_t setting = ++timing;
     timer.expires_after(std::chrono::microseconds(std::max<Micros>(0, span)));
     timer.async_wait([self = shared_from_this(), mine, setting](error_code e) {
-      if (e || mine != self->turn || setting != self->timing) return;
-      if (!self->written) return self->finish(Exchanged::not_written);
+      if (e || mine != self->turn || setting != self->timing)
+        return;
+      if (!self->written)
+        return self->finish(Exchanged::not_written);
       // The answer may be in the socket, unread while this process was busy: the read under way is ended, and
       // its handler takes what is there. Again soon, for one that was about to go on and was not ended.
       self->out_of_time = true;
@@ -131,9 +141,12 @@
   // What has no time left is not written: it could not be heard of.
   void write(std::uint64_t mine) {
     const Micros left = until.left(monotonicNow());
-    if (left <= 0) return finish(Exchanged::not_written);
-    if (reused && !quiet()) return finish(Exchanged::not_written, false, true);
-    if (!time_left_field.empty()) request.set(time_left_field, std::to_string(left / 1000));
+    if (left <= 0)
+      return finish(Exchanged::not_written);
+    if (reused && !quiet())
+      return finish(Exchanged::not_written, false, true);
+    if (!time_left_field.empty())
+      request.set(time_left_field, std::to_string(left / 1000));
     std::ostringstream all;
     all << request;
     bytes = all.str();
@@ -146,15 +159,18 @@
   void writeOn(std::uint64_t mine) {
     error_code e;
     socket.non_blocking(true, e);
-    while (!e && sent < bytes.size()) sent += socket.write_some(asio::buffer(bytes) + sent, e);
+    while (!e && sent < bytes.size())
+      sent += socket.write_some(asio::buffer(bytes) + sent, e);
     if (e == asio::error::would_block) {
       socket.async_wait(tcp::socket::wait_write, [self = shared_from_this(), mine](error_code e2) {
-        if (mine != self->turn) return;
+        if (mine != self->turn)
+          return;
         e2 ? self->finish(Exchanged::not_written) : self->writeOn(mine);
       });
       return;
     }
-    if (e) return finish(Exchanged::not_written);
+    if (e)
+      return finish(Exchanged::not_written);
     written = true;
     std::string().swap(bytes);
     readHeader(mine);
@@ -163,18 +179,24 @@
   void readHeader(std::uint64_t mine) {
     http::async_read_header(
         socket, in, *parser, [self = shared_from_this(), mine](error_code e, std::size_t) {
-          if (mine != self->turn) return;
+          if (mine != self->turn)
+            return;
           if (!e && self->interim())
             return self->out_of_time ? self->takeWhatIsThere() : self->readHeader(mine);
           self->header = !e;  // from here on the status is known, whatever becomes of the body
           if (self->out_of_time && (!e || e == asio::error::operation_aborted))
             return self->takeWhatIsThere();
-          if (e) return self->finish(self->delivered() ? Exchanged::answered : Exchanged::broken);
-          if (!self->bodyIsHere() && self->heard.head) self->heard.head(self->soFar());
-          if (mine != self->turn) return;
+          if (e)
+            return self->finish(self->delivered() ? Exchanged::answered : Exchanged::broken);
+          if (!self->bodyIsHere() && self->heard.head)
+            self->heard.head(self->soFar());
+          if (mine != self->turn)
+            return;
           http::async_read(self->socket, self->in, *self->parser, [self, mine](error_code e2, std::size_t) {
-            if (mine != self->turn) return;
-            if (e2 == asio::error::operation_aborted) return self->takeWhatIsThere();
+            if (mine != self->turn)
+              return;
+            if (e2 == asio::error::operation_aborted)
+              return self->takeWhatIsThere();
             self->answered(!e2);
           });
         });
@@ -187,8 +209,10 @@
       http::read_header(socket, in, *parser, e);
       header = !e && !interim();
     }
-    if (!e) http::read(socket, in, *parser, e);
-    if (header || delivered()) return answered(!e);
+    if (!e)
+      http::read(socket, in, *parser, e);
+    if (header || delivered())
+      return answered(!e);
     finish(e == asio::error::would_block ? Exchanged::timed_out : Exchanged::broken);
   }
 
@@ -224,7 +248,8 @@
     char c;
     error_code e;
     socket.non_blocking(true, e);
-    if (e) return false;
+    if (e)
+      return false;
     socket.receive(asio::buffer(&c, 1), tcp::socket::message_peek, e);
     return e == asio::error::would_block;
   }
@@ -233,15 +258,18 @@
     ++turn;
     timer.cancel();
     HttpAnswer a;
-    if (how == Exchanged::answered) a = soFar();
+    if (how == Exchanged::answered)
+      a = soFar();
     a.how = how;
     a.whole = whole;
     a.stale = stale;
-    if (!keep) close();
+    if (!keep)
+      close();
     Done d = std::move(done);
     done = nullptr;
     heard = {};
-    if (d) d(a);
+    if (d)
+      d(a);
   }
 
   void close() {
@@ -270,23 +298,31 @@
 }
 
 // Guards against a request written to a connection that is gone: it would end as a reset and might have run.
-bool HttpConnection::reusable() const { return state_->open && !state_->done && state_->quiet(); }
+bool HttpConnection::reusable() const {
+  return state_->open && !state_->done && state_->quiet();
+}
 
-void HttpConnection::callOff() { state_->setTimer(state_->turn, 0); }
+void HttpConnection::callOff() {
+  state_->setTimer(state_->turn, 0);
+}
 
-bool HttpConnection::written() const { return state_->written; }
+bool HttpConnection::written() const {
+  return state_->written;
+}
 
 tcp::endpoint parseAddress(const std::string& address) {
   const auto colon = address.rfind(':');
   error_code e;
   if (colon != std::string::npos && colon + 1 < address.size()) {
     std::string host = address.substr(0, colon);
-    if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
+    if (host.size() > 2 && host.front() == '[' && host.back() == ']')
+      host = host.substr(1, host.size() - 2);
     const auto ip = asio::ip::make_address(host, e);
     const std::string port = address.substr(colon + 1);
     const bool digits = port.size() <= 5 && port.find_first_not_of("0123456789") == std::string::npos;
     const int number = digits ? std::stoi(port) : -1;
-    if (!e && number >= 0 && number <= 65535) return {ip, static_cast<unsigned short>(number)};
+    if (!e && number >= 0 && number <= 65535)
+      return {ip, static_cast<unsigned short>(number)};
   }
   throw std::invalid_argument("not an address with a port: " + address);
 }
--- a/src/network/listener.cpp
+++ b/src/network/listener.cpp
@@ -23,19 +23,23 @@
   };
   int type = 0, listens = 0;
   socklen_t size = sizeof type;
-  if (::getsockopt(descriptor, SOL_SOCKET, SO_TYPE, &type, &size) != 0) fail("the passed socket");
+  if (::getsockopt(descriptor, SOL_SOCKET, SO_TYPE, &type, &size) != 0)
+    fail("the passed socket");
   sockaddr_storage bound{};
   socklen_t length = sizeof bound;
-  if (::getsockname(descriptor, reinterpret_cast<sockaddr*>(&bound), &length) != 0) fail("the passed socket");
+  if (::getsockname(descriptor, reinterpret_cast<sockaddr*>(&bound), &length) != 0)
+    fail("the passed socket");
   if (type != SOCK_STREAM || (bound.ss_family != AF_INET && bound.ss_family != AF_INET6)) {
     errno = EPROTOTYPE;
     fail("the passed socket");
   }
   size = sizeof listens;
   ::getsockopt(descriptor, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size);
-  if (!listens && ::listen(descriptor, SOMAXCONN) != 0) fail("the passed socket");
+  if (!listens && ::listen(descriptor, SOMAXCONN) != 0)
+    fail("the passed socket");
   const int own = ::fcntl(descriptor, F_DUPFD_CLOEXEC, 0);
-  if (own < 0) fail("the passed socket");
+  if (own < 0)
+    fail("the passed socket");
   return tcp::acceptor(io, bound.ss_family == AF_INET ? tcp::v4() : tcp::v6(), own);
 }
 
--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -42,7 +42,8 @@
     takeList(news);
   }
   for (Ailment a : r.ailments) {
-    if (!waits_hold) a.wait_until = 0;
+    if (!waits_hold)
+      a.wait_until = 0;
     add(std::move(a));
   }
   for (const Journal::Entry& e : r.entries) {
@@ -105,9 +106,12 @@
     const bool apart = std::any_of(settings_.kinds.begin(), settings_.kinds.end(), [&](const Kind& k) {
       return k.name == l.endpoint.kind && k.routes_apart;
     });
-    if (l.endpoint.state != EndpointState::gone) endpoints_.address(l.endpoint.id, l.address, apart);
-    if (l.endpoint.state == EndpointState::gone) endpoints_.closeIdle(l.endpoint.id);
-    if (l.endpoint.state != EndpointState::ready) endpoints_.drained(l.endpoint.id);
+    if (l.endpoint.state != EndpointState::gone)
+      endpoints_.address(l.endpoint.id, l.address, apart);
+    if (l.endpoint.state == EndpointState::gone)
+      endpoints_.closeIdle(l.endpoint.id);
+    if (l.endpoint.state != EndpointState::ready)
+      endpoints_.drained(l.endpoint.id);
   }
   add(std::move(u));
 }
@@ -116,11 +120,15 @@
   if (std::none_of(settings_.classes.begin(), settings_.classes.end(),
                    [&](const MessageClass& c) { return c.name == m.message_class; }))
     return reply("-ERR unknown class");
-  if (destinations_.empty()) return reply(busy(settings_.max_pause));
-  if (!destinations_.count(m.destination)) return reply("-ERR unknown destination");
+  if (destinations_.empty())
+    return reply(busy(settings_.max_pause));
+  if (!destinations_.count(m.destination))
+    return reply("-ERR unknown destination");
   auto known = held_.find(m.id);
-  if (known != held_.end()) return reply(known->second.reply ? "-ERR handed in twice" : "+OK");
-  if (!journal_.reserve(m)) return reply(busy(settings_.max_pause));
+  if (known != held_.end())
+    return reply(known->second.reply ? "-ERR handed in twice" : "+OK");
+  if (!journal_.reserve(m))
+    return reply(busy(settings_.max_pause));
   Arrival a;
   a.id = m.id;
   a.message_class = m.message_class;
@@ -137,7 +145,8 @@
 }
 
 void Host::retire() {
-  if (!events_.empty()) turn();
+  if (!events_.empty())
+    turn();
   journal_.close();
   retired_ = true;
   wakes_.clear();
@@ -151,7 +160,8 @@
   if (o.wait > 0 && it != held_.end() && o.attempt < static_cast<int>(it->second.attempts.size()))
     endpoints_.toldWait(it->second.attempts[static_cast<std::size_t>(o.attempt)],
                         it->second.message.destination);
-  if (o.still_out) return add(std::move(o));
+  if (o.still_out)
+    return add(std::move(o));
   if (it != held_.end()) {
     if (o.finished) {
       journal_.over(o.id);
@@ -165,25 +175,33 @@
 }
 
 // Written with the next turn: until then a restart would tell it once more, which does no harm.
-void Host::told(const std::string& id) { journal_.over(id); }
+void Host::told(const std::string& id) {
+  journal_.over(id);
+}
 
-void Host::stopAt(Micros at) { add(Stopping{at}); }
+void Host::stopAt(Micros at) {
+  add(Stopping{at});
+}
 
 void Host::add(Event e) {
-  if (retired_) return;
+  if (retired_)
+    return;
   events_.push_back(std::move(e));
-  if (turn_due_) return;
+  if (turn_due_)
+    return;
   turn_due_ = true;
   const Micros due = last_turn_ + settings_.tick - monotonicNow();
   if (due <= 0) {
     asio::post(io_, [this] {
-      if (turn_due_ && !retired_) turn();
+      if (turn_due_ && !retired_)
+        turn();
     });
     return;
   }
   turn_timer_.expires_after(std::chrono::microseconds(due));
   turn_timer_.async_wait([this](const boost::system::error_code& e2) {
-    if (!e2 && turn_due_ && !retired_) turn();
+    if (!e2 && turn_due_ && !retired_)
+      turn();
   });
 }
 
@@ -199,23 +217,30 @@
 // First the refusals of what has just come, then the journal, then all that it promises.
 void Host::carryOut(const std::vector<Action>& actions) {
   for (const Action& a : actions) {
-    if (const auto* r = std::get_if<Refuse>(&a)) end(r->id, true, r->pause);
-    if (const auto* f = std::get_if<Fail>(&a)) end(f->id, false, 0);
-    if (const auto* h = std::get_if<Ailment>(&a)) journal_.ailing(*h);
+    if (const auto* r = std::get_if<Refuse>(&a))
+      end(r->id, true, r->pause);
+    if (const auto* f = std::get_if<Fail>(&a))
+      end(f->id, false, 0);
+    if (const auto* h = std::get_if<Ailment>(&a))
+      journal_.ailing(*h);
   }
-  for (const std::string& id : fresh_) journal_.accepted(held_.at(id).message);
+  for (const std::string& id : fresh_)
+    journal_.accepted(held_.at(id).message);
   std::vector<std::pair<const Send*, int>> sends;
   for (const Action& a : actions) {
     const auto* s = std::get_if<Send>(&a);
-    if (!s) continue;
+    if (!s)
+      continue;
     auto it = held_.find(s->id);
-    if (it == held_.end()) continue;
+    if (it == held_.end())
+      continue;
     journal_.attempted(s->id, {s->endpoint, monotonicNow(), false});
     sends.emplace_back(s, static_cast<int>(it->second.attempts.size()));
     it->second.attempts.push_back(s->endpoint);
   }
   const bool kept = journal_.flush();
-  if (!kept) std::cerr << "journal: could not be written\n";
+  if (!kept)
+    std::cerr << "journal: could not be written\n";
   for (const std::string& id : fresh_) {
     Held& h = held_.at(id);
     const Clients::Reply reply = std::move(h.reply);
@@ -231,7 +256,8 @@
   std::size_t next = 0;
   for (const Action& a : actions) {
     if (const auto* s = std::get_if<Send>(&a)) {
-      if (next >= sends.size() || sends[next].first != s) continue;
+      if (next >= sends.size() || sends[next].first != s)
+        continue;
       const int attempt = sends[next++].second;
       auto it = held_.find(s->id);
       if (kept) {
@@ -246,7 +272,8 @@
       o.result = Result::not_sent;
       outcome(std::move(o));
     } else if (const auto* c = std::get_if<Cancel>(&a)) {
-      if (!endpoints_.cancel(c->id, c->attempt)) cancel_elsewhere_({c->id, c->attempt});
+      if (!endpoints_.cancel(c->id, c->attempt))
+        cancel_elsewhere_({c->id, c->attempt});
     } else if (const auto* i = std::get_if<CloseIdle>(&a)) {
       endpoints_.closeIdle(i->endpoint);
     } else if (const auto* w = std::get_if<WakeIn>(&a)) {
@@ -259,7 +286,8 @@
 // The module has ended a message: the client hears it at once, or by a notice if it was taken on before.
 void Host::end(const std::string& id, bool handed_back, Micros pause) {
   auto it = held_.find(id);
-  if (it == held_.end()) return;
+  if (it == held_.end())
+    return;
   if (it->second.reply) {
     const Clients::Reply reply = std::move(it->second.reply);
     fresh_.erase(id);
@@ -273,17 +301,20 @@
 }
 
 void Host::wake() {
-  if (wakes_.empty()) return;
+  if (wakes_.empty())
+    return;
   wake_timer_.expires_after(std::chrono::microseconds(std::max<Micros>(0, *wakes_.begin() - monotonicNow())));
   wake_timer_.async_wait([this](const boost::system::error_code& e) {
-    if (e) return;
+    if (e)
+      return;
     const Micros now = monotonicNow();
     bool due = false;
     while (!wakes_.empty() && *wakes_.begin() <= now) {
       wakes_.erase(wakes_.begin());
       due = true;
     }
-    if (due) add(Wake{});
+    if (due)
+      add(Wake{});
     wake();
   });
 }
--- a/src/process/handover.cpp
+++ b/src/process/handover.cpp
@@ -35,12 +35,14 @@
 class SocketPath {
  public:
   explicit SocketPath(const std::string& folder) : path_(folder + "/handover") {
-    if (path_.size() <= kLongestPath) return;
+    if (path_.size() <= kLongestPath)
+      return;
     fd_ = ::open(folder.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC);
     path_ = "/proc/self/fd/" + std::to_string(fd_) + "/handover";
   }
   ~SocketPath() {
-    if (fd_ >= 0) ::close(fd_);
+    if (fd_ >= 0)
+      ::close(fd_);
   }
   SocketPath(const SocketPath&) = delete;
   SocketPath& operator=(const SocketPath&) = delete;
@@ -56,10 +58,13 @@
 OwnerLock::OwnerLock(const std::string& folder) {
   const std::string path = folder + "/lock";
   fd_ = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
-  if (fd_ < 0) throw std::runtime_error("lock: " + path + ": " + std::strerror(errno));
+  if (fd_ < 0)
+    throw std::runtime_error("lock: " + path + ": " + std::strerror(errno));
 }
 
-OwnerLock::~OwnerLock() { ::close(fd_); }
+OwnerLock::~OwnerLock() {
+  ::close(fd_);
+}
 
 bool OwnerLock::take() {
   struct flock f = wholeFile(F_WRLCK);
@@ -85,8 +90,10 @@
 void Link::read() {
   asio::async_read_until(socket_, asio::dynamic_buffer(in_, kLongestMessage), '\n',
                          [self = shared_from_this()](error_code e, std::size_t n) {
-                           if (!self->open_) return;
-                           if (e) return self->end();
+                           if (!self->open_)
+                             return;
+                           if (e)
+                             return self->end();
                            const json message = json::parse(self->in_.substr(0, n), nullptr, false);
                            self->in_.erase(0, n);
                            try {
@@ -95,26 +102,31 @@
                              std::cerr << "link: " << bad_message.what() << '\n';
                              return self->end();
                            }
-                           if (self->open_) self->read();
+                           if (self->open_)
+                             self->read();
                          });
 }
 
 void Link::send(const json& message) {
   out_.push_back(message.dump(-1, ' ', false, json::error_handler_t::replace) + "\n");
-  if (open_ && out_.size() == 1) write();
+  if (open_ && out_.size() == 1)
+    write();
 }
 
 void Link::write() {
   asio::async_write(socket_, asio::buffer(out_.front()),
                     [self = shared_from_this()](error_code e, std::size_t) {
-                      if (!self->open_ || e) return;  // the end shows where it is read
+                      if (!self->open_ || e)
+                        return;  // the end shows where it is read
                       self->out_.pop_front();
-                      if (!self->out_.empty()) self->write();
+                      if (!self->out_.empty())
+                        self->write();
                     });
 }
 
 void Link::end() {
-  if (!open_) return;
+  if (!open_)
+    return;
   const auto on_end = std::move(on_end_);
   close();
   on_end();
@@ -148,9 +160,11 @@
 
 void LinkListener::accept() {
   acceptor_.async_accept([this](error_code e, Link::Socket s) {
-    if (e || !acceptor_.is_open()) return;
+    if (e || !acceptor_.is_open())
+      return;
     on_link_(std::make_shared<Link>(std::move(s)));
-    if (acceptor_.is_open()) accept();
+    if (acceptor_.is_open())
+      accept();
   });
 }
 
--- a/src/process/sender_process.cpp
+++ b/src/process/sender_process.cpp
@@ -24,7 +24,8 @@
 constexpr Micros kOwnerHangs = 4'000'000, kTakeBackAfter = 2'000'000, kTakeBackWithin = 1'000'000;
 
 Endpoints::CallId callOf(const json& j) {
-  if (!j.is_array() || j.size() != 2 || !j[0].is_string() || !j[1].is_number_integer()) bad("not a call");
+  if (!j.is_array() || j.size() != 2 || !j[0].is_string() || !j[1].is_number_integer())
+    bad("not a call");
   return {j[0].get<std::string>(), j[1].get<int>()};
 }
 
@@ -36,7 +37,8 @@
          {"still_out", o.still_out},
          {"wait", o.wait},
          {"rtt", o.rtt}};
-  if (o.report) j["report"] = {o.report->left, o.report->limit};
+  if (o.report)
+    j["report"] = {o.report->left, o.report->limit};
   return j;
 }
 
@@ -45,7 +47,8 @@
   o.id = text(j, "id");
   o.attempt = static_cast<int>(integer(j, "attempt"));
   const std::int64_t result = integer(j, "result");
-  if (result < 0 || result > static_cast<int>(Result::not_sent)) bad("not a result");
+  if (result < 0 || result > static_cast<int>(Result::not_sent))
+    bad("not a result");
   o.result = static_cast<Result>(result);
   o.finished = truth(j, "finished");
   o.still_out = truth(j, "still_out", false);
@@ -53,14 +56,16 @@
   o.rtt = integer(j, "rtt");
   if (!absent(j, "report")) {
     const json& r = array(j, "report");
-    if (r.size() != 2 || !r[0].is_number() || !r[1].is_number()) bad("not a report");
+    if (r.size() != 2 || !r[0].is_number() || !r[1].is_number())
+      bad("not a report");
     o.report = LimitReport{r[0].get<double>(), r[1].get<double>()};
   }
   return o;
 }
 
 tcp::acceptor listenForClients(asio::io_context& io, const Config& c) {
-  if (c.passed_socket >= 0) try {
+  if (c.passed_socket >= 0)
+    try {
       return listenOnPassed(io, c.passed_socket);
     } catch (const boost::system::system_error& e) {
       std::cerr << e.what() << ": listening at " << c.listen << " instead\n";
@@ -78,7 +83,8 @@
         notices(Agent(s.io_, agent, s.config_.discovery), [this](const std::string& id) { host.told(id); }),
         host(s.io_, s.config_.settings, s.config_.seed, journal, s.endpoints_, notices,
              [&s](const CallId& call) {
-               if (s.older_) s.older_->send({{"cancel", {call.first, call.second}}});
+               if (s.older_)
+                 s.older_->send({{"cancel", {call.first, call.second}}});
              }),
         watcher(Agent(s.io_, agent, s.config_.discovery), s.config_.seed,
                 [this](const json& a) { return host.list(a); }),
@@ -116,9 +122,11 @@
           io, {config_.settings.dial_timeout, config_.settings.conn_idle}, connections_,
           [this](Outcome o) { outcome(std::move(o)); },
           [this](const std::string& endpoint, std::optional<std::int64_t> destination) {
-            if (!older_) return;
+            if (!older_)
+              return;
             json line{{"held", endpoint}};
-            if (destination) line["destination"] = *destination;
+            if (destination)
+              line["destination"] = *destination;
             older_->send(line);
           }),
       look_timer_(io) {
@@ -140,7 +148,8 @@
 
 void Service::limit(std::int64_t sockets, std::int64_t memory_bytes) {
   const Budget b = budgetOf({sockets, memory_bytes, config_.settings.slots}, older_ != nullptr);
-  if (sockets == config_.sockets && memory_bytes == config_.memory_bytes) return;
+  if (sockets == config_.sockets && memory_bytes == config_.memory_bytes)
+    return;
   config_.sockets = sockets;
   config_.memory_bytes = memory_bytes;
   std::cerr << "limits are now " << sockets << " sockets and " << memory_bytes / 1'000'000
@@ -151,16 +160,19 @@
 void Service::changeBudget(const Budget& b) {
   connections_.setBudget(b);
   endpoints_.budgetChanged();
-  if (serving_) serving_->clients.budgetChanged();
+  if (serving_)
+    serving_->clients.budgetChanged();
 }
 
 // Looks again and again while something is to be waited for that has no event: not while it just serves.
 void Service::look() {
-  if (over_ || looking_) return;
+  if (over_ || looking_)
+    return;
   if (serving_ && newer_) {
     const Clients& c = serving_->clients;
     const bool quiet = c.count() == 0 || monotonicNow() - yield_from_ > kYieldWithin;
-    if (quiet && c.unanswered() == 0) release();
+    if (quiet && c.unanswered() == 0)
+      release();
   } else if (!serving_ && (!newer_ || (!newer_serves_ && monotonicNow() - released_at_ > kTakeBackAfter))) {
     waitForJournal();
   }
@@ -168,30 +180,36 @@
     over_ = true;
     return on_over_();
   }
-  if (serving_ && !newer_ && stop_from_ == 0) return;
+  if (serving_ && !newer_ && stop_from_ == 0)
+    return;
   looking_ = true;
   look_timer_.expires_after(std::chrono::microseconds(kLook));
   look_timer_.async_wait([this](const boost::system::error_code& e) {
     looking_ = false;
-    if (!e) look();
+    if (!e)
+      look();
   });
 }
 
 bool Service::done() const {
   const Micros since = monotonicNow() - stop_from_;
-  if (stop_from_ > 0 && since >= kStopAfter) return true;
+  if (stop_from_ > 0 && since >= kStopAfter)
+    return true;
   if (serving_)
     return stop_from_ > 0 && !newer_ && since > kLateClients && serving_->clients.unanswered() == 0 &&
            endpoints_.out() == 0 && serving_->notices.owed() == 0 && serving_->host.idle();
-  if (newer_) return (newer_serves_ || stop_from_ > 0) && endpoints_.out() == 0 && newer_->allSent();
+  if (newer_)
+    return (newer_serves_ || stop_from_ > 0) && endpoints_.out() == 0 && newer_->allSent();
   return stop_from_ > 0 || (handed_over_ && monotonicNow() - waiting_from_ > kTakeBackWithin);
 }
 
 void Service::waitForJournal() {
   const Micros waited = monotonicNow() - waiting_from_;
   const bool owner_hangs = !handed_over_ && waited > kOwnerHangs;
-  if ((!older_ || older_released_ || owner_hangs) && stop_from_ == 0 && lock_.take()) return own();
-  if (handed_over_) return;
+  if ((!older_ || older_released_ || owner_hangs) && stop_from_ == 0 && lock_.take())
+    return own();
+  if (handed_over_)
+    return;
   if (owner_hangs) {
     const pid_t owner = lock_.holder();
     if (owner > 0) {
@@ -200,10 +218,12 @@
     }
     return;
   }
-  if (older_) return;
+  if (older_)
+    return;
   older_ = connectLink(io_, config_.scratch);
   older_released_ = false;
-  if (!older_) return;
+  if (!older_)
+    return;
   replaces_ = true;
   changeBudget(budget());
   older_->start([this](const json& m) { onOlderMessage(m); }, [this] { onOlderEnd(); });
@@ -212,44 +232,55 @@
 // This process owns the journal from here on.
 void Service::own() {
   std::set<CallId> out = elsewhere_;
-  for (const CallId& c : endpoints_.calls()) out.insert(c);
-  for (const Outcome& o : told_) out.insert({o.id, o.attempt});
-  for (const Outcome& o : early_) out.insert({o.id, o.attempt});
-  if (newer_) newer_->close();
+  for (const CallId& c : endpoints_.calls())
+    out.insert(c);
+  for (const Outcome& o : told_)
+    out.insert({o.id, o.attempt});
+  for (const Outcome& o : early_)
+    out.insert({o.id, o.attempt});
+  if (newer_)
+    newer_->close();
   newer_.reset();
   newer_serves_ = handed_over_ = false;
   serving_ = std::make_unique<Serving>(*this, parseAddress(config_.discovery), out);
   for (auto* heard : {&told_, &early_}) {
-    for (Outcome& o : *heard) serving_->host.outcome(std::move(o));
+    for (Outcome& o : *heard)
+      serving_->host.outcome(std::move(o));
     heard->clear();
   }
   replaces_ = true;
   operators_drain_ ? serving_->clients.drain() : serving_->clients.undrain();
-  if (older_) older_->send({{"serving", true}});
+  if (older_)
+    older_->send({{"serving", true}});
   std::cerr << "ready\n";
 }
 
 void Service::outcome(Outcome o) {
-  if (serving_) return serving_->host.outcome(std::move(o));
-  if (newer_) newer_->send({{"outcome", outcomeToJson(o)}});
+  if (serving_)
+    return serving_->host.outcome(std::move(o));
+  if (newer_)
+    newer_->send({{"outcome", outcomeToJson(o)}});
   told_.push_back(std::move(o));
 }
 
 void Service::yieldTo(std::shared_ptr<Link> newer) {
-  if (newer_) return newer->close();  // it asks again
+  if (newer_)
+    return newer->close();  // it asks again
   std::cerr << "handover: the next process asks for it\n";
   newer_ = std::move(newer);
   newer_serves_ = false;
   yield_from_ = monotonicNow();
   newer_->start(
       [this](const json& m) {
-        if (!absent(m, "serving")) newer_serves_ = true;
+        if (!absent(m, "serving"))
+          newer_serves_ = true;
         if (!absent(m, "held")) {
           const std::string endpoint = text(m, "held");
           absent(m, "destination") ? endpoints_.drained(endpoint)
                                    : endpoints_.toldWait(endpoint, integer(m, "destination"));
         }
-        if (absent(m, "cancel")) return;
+        if (absent(m, "cancel"))
+          return;
         const CallId call = callOf(field(m, "cancel"));
         endpoints_.cancel(call.first, call.second);
       },
@@ -264,7 +295,8 @@
   retired_.push_back(std::move(serving_));
   endpoints_.closeAllIdle();
   json out = json::array();
-  for (const CallId& c : endpoints_.calls()) out.push_back({c.first, c.second});
+  for (const CallId& c : endpoints_.calls())
+    out.push_back({c.first, c.second});
   std::cerr << "handover: handed over with " << out.size() << " calls out\n";
   newer_->send({{"release", std::move(out)}});
   lock_.release();
@@ -277,7 +309,8 @@
   newer_.reset();
   waiting_from_ = monotonicNow();
   if (serving_) {
-    if (!operators_drain_ && stop_from_ == 0) serving_->clients.undrain();
+    if (!operators_drain_ && stop_from_ == 0)
+      serving_->clients.undrain();
     serving_->clients.resumeAccepting();
   }
   look();
@@ -285,15 +318,20 @@
 
 void Service::onOlderMessage(const json& message) {
   if (!absent(message, "release")) {
-    for (const json& c : array(message, "release")) elsewhere_.insert(callOf(c));
+    for (const json& c : array(message, "release"))
+      elsewhere_.insert(callOf(c));
     older_released_ = true;
     look();
   }
-  if (absent(message, "outcome")) return;
+  if (absent(message, "outcome"))
+    return;
   Outcome o = outcomeFromJson(field(message, "outcome"));
-  if (elsewhere_.count({o.id, o.attempt}) == 0) return;
-  if (!o.still_out) elsewhere_.erase({o.id, o.attempt});
-  if (serving_) return serving_->host.outcome(std::move(o));
+  if (elsewhere_.count({o.id, o.attempt}) == 0)
+    return;
+  if (!o.still_out)
+    elsewhere_.erase({o.id, o.attempt});
+  if (serving_)
+    return serving_->host.outcome(std::move(o));
   early_.push_back(std::move(o));
 }
 
@@ -304,7 +342,8 @@
   const auto lost = std::move(elsewhere_);
   elsewhere_.clear();
   changeBudget(budget());
-  if (!serving_) return look();  // the journal tells of them
+  if (!serving_)
+    return look();  // the journal tells of them
   for (const CallId& c : lost) {
     Outcome o;
     o.id = c.first;
@@ -315,19 +354,27 @@
 }
 
 std::string Service::notReady() const {
-  if (stop_from_ > 0) return "stopping";
-  if (serving_ && newer_) return "handing over to the next process";
-  if (handed_over_) return "handed over to the next process";
-  if (!serving_) return "waiting for the process before to hand over";
-  if (operators_drain_) return "draining";
+  if (stop_from_ > 0)
+    return "stopping";
+  if (serving_ && newer_)
+    return "handing over to the next process";
+  if (handed_over_)
+    return "handed over to the next process";
+  if (!serving_)
+    return "waiting for the process before to hand over";
+  if (operators_drain_)
+    return "draining";
   return serving_->host.knowsList() ? "" : "no list of endpoints yet";
 }
 
 std::string Service::operate(const std::string& call) {
   const std::string why = notReady();
-  if (call == "READY") return why.empty() ? "OK ready" : "ERR " + why;
-  if (call != "DRAIN" && call != "UNDRAIN") return "ERR unknown call: READY, DRAIN or UNDRAIN";
-  if (stop_from_ > 0 || !serving_ || newer_) return "ERR " + why;
+  if (call == "READY")
+    return why.empty() ? "OK ready" : "ERR " + why;
+  if (call != "DRAIN" && call != "UNDRAIN")
+    return "ERR unknown call: READY, DRAIN or UNDRAIN";
+  if (stop_from_ > 0 || !serving_ || newer_)
+    return "ERR " + why;
   std::cerr << "operator: " << call << '\n';
   operators_drain_ = call == "DRAIN";
   operators_drain_ ? serving_->clients.drain() : serving_->clients.undrain();
@@ -335,7 +382,8 @@
 }
 
 void Service::stop() {
-  if (stop_from_ > 0) return;
+  if (stop_from_ > 0)
+    return;
   std::cerr << "stopping\n";
   stop_from_ = monotonicNow();
   if (serving_) {
@@ -348,7 +396,8 @@
 void Service::followDiscovery(const std::string& address) {
   const tcp::endpoint peer = parseAddress(address);
   config_.discovery = address;
-  if (!serving_) return;
+  if (!serving_)
+    return;
   serving_->watcher.moveTo(peer, address);
   serving_->notices.moveTo(peer, address);
 }
--- a/src/process/sender_process.h
+++ b/src/process/sender_process.h
@@ -16,8 +16,8 @@
 #include <vector>
 
 #include "network/control_server.h"
-#include "process/handover.h"
 #include "process/decision_driver.h"
+#include "process/handover.h"
 
 namespace delivery {
 
--- a/src/programs/journal_inspect.cpp
+++ b/src/programs/journal_inspect.cpp
@@ -34,7 +34,8 @@
       continue;
     }
     std::size_t may_have_run = 0;
-    for (const JournaledAttempt& a : e.attempts) may_have_run += !a.never_ran;
+    for (const JournaledAttempt& a : e.attempts)
+      may_have_run += !a.never_ran;
     ++held;
     tried += may_have_run > 0;
     std::cout << "held " << id << ": destination " << e.message.destination << ", " << e.attempts.size()
@@ -51,14 +52,16 @@
             << " repeated\n";
   std::error_code none;
   const auto aside = std::filesystem::file_size(folder + "/journal.damaged", none);
-  if (!none) std::cout << "journal.damaged: " << aside << " bytes kept from earlier\n";
+  if (!none)
+    std::cout << "journal.damaged: " << aside << " bytes kept from earlier\n";
   return r.damaged() || r.scan.repeated > 0 ? kDamaged : kSound;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  if (argc == 3 && std::string(argv[1]) == "check") return check(argv[2]);
+  if (argc == 3 && std::string(argv[1]) == "check")
+    return check(argv[2]);
   std::cerr << "usage: journal_inspect check FOLDER\n";
   return kUnreadable;
 }
--- a/src/programs/message_sender.cpp
+++ b/src/programs/message_sender.cpp
@@ -22,16 +22,20 @@
 // -1: not set, or no descriptor's number.
 int descriptorIn(const char* name) {
   const std::string v = variable(name, "");
-  if (v.empty()) return -1;
-  if (v.size() <= 6 && v.find_first_not_of("0123456789") == std::string::npos) return std::stoi(v);
+  if (v.empty())
+    return -1;
+  if (v.size() <= 6 && v.find_first_not_of("0123456789") == std::string::npos)
+    return std::stoi(v);
   std::cerr << name << " is not a descriptor's number: " << v << '\n';
   return -1;
 }
 
 std::uint64_t seedOf(const json& o) {
-  if (absent(o, "seed")) return 0;
+  if (absent(o, "seed"))
+    return 0;
   const json& s = field(o, "seed");
-  if (s.is_number_unsigned()) return s.get<std::uint64_t>();
+  if (s.is_number_unsigned())
+    return s.get<std::uint64_t>();
   const std::string hex = text(o, "seed");
   if (hex.empty() || hex.size() > 16 || hex.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos)
     bad("not a hexadecimal number: seed");
@@ -40,26 +44,35 @@
 
 json readFile() {
   const std::string path = variable("GW_CONFIG", "");
-  if (path.empty()) bad("GW_CONFIG is not set");
+  if (path.empty())
+    bad("GW_CONFIG is not set");
   std::ifstream file(path);
-  if (!file) bad("can't be read: " + path);
+  if (!file)
+    bad("can't be read: " + path);
   std::stringstream all;
   all << file.rdbuf();
   json o = json::parse(all.str(), nullptr, false);
-  if (!o.is_object()) bad("not a JSON object: " + path);
+  if (!o.is_object())
+    bad("not a JSON object: " + path);
   return o;
 }
 
 // The file's address first: it may have been replaced since the environment was made.
-std::string discoveryOf(const json& o) { return text(o, "discovery", variable("GW_DISCOVERY", "").c_str()); }
+std::string discoveryOf(const json& o) {
+  return text(o, "discovery", variable("GW_DISCOVERY", "").c_str());
+}
 
 // A figure of `limits`, `times` a unit, within what can be reckoned with.
 std::int64_t limitOf(const json& o, const char* name, double otherwise, double times) {
   const double v = number(optionalObject(o, "limits"), name, otherwise) * times;
   return static_cast<std::int64_t>(std::min(std::max(v, 0.0), 1e15));
 }
-std::int64_t socketsOf(const json& o) { return limitOf(o, "sockets", 1024, 1); }
-std::int64_t memoryOf(const json& o) { return limitOf(o, "memory_mb", 64, 1e6); }
+std::int64_t socketsOf(const json& o) {
+  return limitOf(o, "sockets", 1024, 1);
+}
+std::int64_t memoryOf(const json& o) {
+  return limitOf(o, "memory_mb", 64, 1e6);
+}
 
 Config readConfig() {
   const json o = readFile();
@@ -68,7 +81,8 @@
   c.discovery = discoveryOf(o);
   c.control = variable("GW_CONTROL", text(o, "control", ""));
   c.state = variable("GW_STATE", "");
-  if (c.state.empty()) bad("GW_STATE is not set");
+  if (c.state.empty())
+    bad("GW_STATE is not set");
   c.scratch = variable("TMPDIR", c.state);
   c.passed_socket = descriptorIn("GW_PASSED_SOCKET");
   c.seed = seedOf(o);
@@ -76,7 +90,8 @@
   c.sockets = socketsOf(o);
   c.memory_bytes = memoryOf(o);
   c.durable = truth(o, "durable", false);
-  if (!absent(o, "known")) c.known = object(o, "known");
+  if (!absent(o, "known"))
+    c.known = object(o, "known");
   c.settings = readSettings(object(o, "settings"));
   return c;
 }
@@ -86,11 +101,13 @@
   Service service(io, std::move(c), [&] { io.stop(); });
   boost::asio::signal_set stop(io, SIGTERM, SIGINT), reload(io, SIGHUP);
   stop.async_wait([&](const boost::system::error_code& e, int) {
-    if (!e) service.stop();
+    if (!e)
+      service.stop();
   });
   std::function<void()> awaitReload = [&] {
     reload.async_wait([&](const boost::system::error_code& e, int) {
-      if (e) return;
+      if (e)
+        return;
       awaitReload();
       try {
         const json file = readFile();
--- a/src/programs/simulator_adapter.cpp
+++ b/src/programs/simulator_adapter.cpp
@@ -36,40 +36,53 @@
  public:
   std::string turn(const std::string& line) {
     json batch = json::parse(line, nullptr, false);
-    if (batch.is_discarded()) bad("not JSON");
-    if (!batch.is_object()) bad("not an object");
+    if (batch.is_discarded())
+      bad("not JSON");
+    if (!batch.is_object())
+      bad("not an object");
     const Micros now = span(batch, "SimTimeMs");
     touched_.clear();
     faults_.clear();
-    for (const json& e : array(batch, "arrivals")) take(e);
+    for (const json& e : array(batch, "arrivals"))
+      take(e);
     json cmds = json::array();
-    for (std::int64_t who : touched_) answer(who, now, cmds);
-    for (const auto& [who, words] : faults_) cmds.push_back({{"Fatal", {{"Who", who}, {"Words", words}}}});
+    for (std::int64_t who : touched_)
+      answer(who, now, cmds);
+    for (const auto& [who, words] : faults_)
+      cmds.push_back({{"Fatal", {{"Who", who}, {"Words", words}}}});
     return json{{"cmds", std::move(cmds)}}.dump();
   }
 
  private:
   void take(const json& e) {
-    if (!e.is_object() || e.size() != 1) bad("an event is an object of one key");
+    if (!e.is_object() || e.size() != 1)
+      bad("an event is an object of one key");
     const std::string name = e.begin().key();
     try {
       takeNamed(name, e.begin().value());
-    } catch (const BadInput& b) { bad(name + ": " + b.what()); }
+    } catch (const BadInput& b) {
+      bad(name + ": " + b.what());
+    }
   }
 
   void takeNamed(const std::string& name, const json& f) {
-    if (!f.is_object()) bad("not an object");
-    if (name == "Roster") return roster(f);
+    if (!f.is_object())
+      bad("not an object");
+    if (name == "Roster")
+      return roster(f);
     const std::int64_t who = integer(f, "Who");
-    if (name == "Attach") return attach(who, f);
+    if (name == "Attach")
+      return attach(who, f);
     auto it = instances_.find(who);
-    if (it == instances_.end()) bad("instance never attached: " + std::to_string(who));
+    if (it == instances_.end())
+      bad("instance never attached: " + std::to_string(who));
     if (name == "PowerOff") {
       instances_.erase(it);
       return;
     }
     Instance& i = it->second;
-    if (std::find(touched_.begin(), touched_.end(), who) == touched_.end()) touched_.push_back(who);
+    if (std::find(touched_.begin(), touched_.end(), who) == touched_.end())
+      touched_.push_back(who);
     if (name == "Members") {
       i.events.push_back(members(f));
     } else if (name == "Call") {
@@ -92,14 +105,17 @@
 
   void attach(std::int64_t who, const json& f) {
     const json& seed = field(f, "RandomSeed");
-    if (!seed.is_number_integer()) bad("not a whole number: RandomSeed");
+    if (!seed.is_number_integer())
+      bad("not a whole number: RandomSeed");
     const json& o = object(f, "Options");
     int x0 = -1, x1 = -1, at = 0;
     const json& stats = optionalObject(o, "Stats");
     if (!absent(stats, "Fields"))
       for (const json& n : array(stats, "Fields")) {
-        if (n == "x0") x0 = at;
-        if (n == "x1") x1 = at;
+        if (n == "x0")
+          x0 = at;
+        if (n == "x1")
+          x1 = at;
         ++at;
       }
     Settings s = readSettings(o);
@@ -117,7 +133,8 @@
       e.kind = text(m, "Hw", "");
       e.destination = integer(m, "Cell");
       const std::int64_t mode = integer(m, "Mode");
-      if (mode < 1 || mode > 3) bad("unknown value of Mode");
+      if (mode < 1 || mode > 3)
+        bad("unknown value of Mode");
       e.state = mode == 3 ? EndpointState::ready : mode == 2 ? EndpointState::draining : EndpointState::gone;
       e.weight = number(m, "Share", 0);
       list.push_back(std::move(e));
@@ -127,14 +144,17 @@
 
   ListUpdate members(const json& f) {
     const std::int64_t kind = integer(f, "Kind");
-    if (kind < 0 || kind > 3) bad("unknown value of Kind");
+    if (kind < 0 || kind > 3)
+      bad("unknown value of Kind");
     const ListKind kinds[] = {ListKind::delta, ListKind::full, ListKind::cached, ListKind::failed};
     ListUpdate u;
     u.kind = kinds[kind];
-    if (u.kind == ListKind::failed) return u;
+    if (u.kind == ListKind::failed)
+      return u;
     const std::int64_t sheet = integer(f, "Sheet");
     auto it = sheets_.find(sheet);
-    if (it == sheets_.end()) bad("list number never given: " + std::to_string(sheet));
+    if (it == sheets_.end())
+      bad("list number never given: " + std::to_string(sheet));
     u.endpoints = it->second;
     return u;
   }
@@ -143,7 +163,8 @@
     Arrival a;
     a.id = text(f, "OpId");
     a.message_class = text(f, "TierClass");
-    if (!absent(f, "Billing") && f["Billing"].is_string()) a.tenant = text(f, "Billing");
+    if (!absent(f, "Billing") && f["Billing"].is_string())
+      a.tenant = text(f, "Billing");
     a.order_key = text(f, "RouteKey", "");
     a.destination = static_cast<std::int64_t>(number(f, "FarEnd"));
     a.give_up_at = Deadline(span(f, "GiveUpAtMs"));
@@ -153,14 +174,16 @@
   }
 
   static std::optional<LimitReport> gauge(const Instance& i, const json& f) {
-    if (absent(f, "Gauge")) return std::nullopt;
+    if (absent(f, "Gauge"))
+      return std::nullopt;
     const json& row = array(f, "Gauge");
     auto at = [&](int k) {
       return k >= 0 && k < static_cast<int>(row.size()) && row[static_cast<std::size_t>(k)].is_number()
                  ? row[static_cast<std::size_t>(k)].get<double>()
                  : 0.0;
     };
-    if (i.x0 < 0 && i.x1 < 0) return std::nullopt;
+    if (i.x0 < 0 && i.x1 < 0)
+      return std::nullopt;
     return LimitReport{at(i.x0), at(i.x1)};
   }
 
@@ -170,7 +193,8 @@
     o.attempt = static_cast<int>(integer(f, "Attempt"));
     o.result = readResult(f);
     o.finished = truth(f, "Finished", false);
-    if (o.result == Result::full) o.wait = span(f, "Detail", 0);
+    if (o.result == Result::full)
+      o.wait = span(f, "Detail", 0);
     o.rtt = span(f, "RttMs", 0);
     o.report = gauge(i, f);
     return o;
@@ -178,15 +202,20 @@
 
   void answer(std::int64_t who, Micros now, json& cmds) {
     auto it = instances_.find(who);
-    if (it == instances_.end()) return;
+    if (it == instances_.end())
+      return;
     Instance& i = it->second;
     std::vector<Event> events;
     events.swap(i.events);
-    if (events.empty()) return;
+    if (events.empty())
+      return;
     try {
       for (const Action& a : i.sender.decide(now, events))
-        if (json c = command(i, who, a); !c.is_null()) cmds.push_back(std::move(c));
-    } catch (const std::exception& e) { faults_.emplace_back(who, e.what()); }
+        if (json c = command(i, who, a); !c.is_null())
+          cmds.push_back(std::move(c));
+    } catch (const std::exception& e) {
+      faults_.emplace_back(who, e.what());
+    }
   }
 
   static json command(Instance& i, std::int64_t who, const Action& action) {
--- a/src/protocol/json_fields.h
+++ b/src/protocol/json_fields.h
@@ -19,11 +19,14 @@
   using std::runtime_error::runtime_error;
 };
 
-[[noreturn]] inline void bad(const std::string& what) { throw BadInput(what); }
+[[noreturn]] inline void bad(const std::string& what) {
+  throw BadInput(what);
+}
 
 inline const json& field(const json& o, const char* name) {
   auto it = o.find(name);
-  if (it == o.end()) bad(std::string("missing field ") + name);
+  if (it == o.end())
+    bad(std::string("missing field ") + name);
   return *it;
 }
 
@@ -34,7 +37,8 @@
 
 inline double number(const json& o, const char* name) {
   const json& v = field(o, name);
-  if (!v.is_number()) bad(std::string("not a number: ") + name);
+  if (!v.is_number())
+    bad(std::string("not a number: ") + name);
   return v.get<double>();
 }
 inline double number(const json& o, const char* name, double otherwise) {
@@ -42,12 +46,14 @@
 }
 inline std::int64_t integer(const json& o, const char* name) {
   const json& v = field(o, name);
-  if (!v.is_number_integer()) bad(std::string("not a whole number: ") + name);
+  if (!v.is_number_integer())
+    bad(std::string("not a whole number: ") + name);
   return v.get<std::int64_t>();
 }
 inline std::string text(const json& o, const char* name) {
   const json& v = field(o, name);
-  if (!v.is_string()) bad(std::string("not a text: ") + name);
+  if (!v.is_string())
+    bad(std::string("not a text: ") + name);
   return v.get<std::string>();
 }
 inline std::string text(const json& o, const char* name, const char* otherwise) {
@@ -55,7 +61,8 @@
 }
 inline bool truth(const json& o, const char* name) {
   const json& v = field(o, name);
-  if (!v.is_boolean()) bad(std::string("not true or false: ") + name);
+  if (!v.is_boolean())
+    bad(std::string("not true or false: ") + name);
   return v.get<bool>();
 }
 inline bool truth(const json& o, const char* name, bool otherwise) {
@@ -63,12 +70,14 @@
 }
 inline const json& array(const json& o, const char* name) {
   const json& v = field(o, name);
-  if (!v.is_array()) bad(std::string("not an array: ") + name);
+  if (!v.is_array())
+    bad(std::string("not an array: ") + name);
   return v;
 }
 inline const json& object(const json& o, const char* name) {
   const json& v = field(o, name);
-  if (!v.is_object()) bad(std::string("not an object: ") + name);
+  if (!v.is_object())
+    bad(std::string("not an object: ") + name);
   return v;
 }
 inline const json& optionalObject(const json& o, const char* name) {
@@ -76,17 +85,24 @@
   return absent(o, name) ? none : object(o, name);
 }
 
-inline Micros toMicros(double ms) { return static_cast<Micros>(std::llround(ms * 1000.0)); }
-inline Micros span(const json& o, const char* name) { return toMicros(number(o, name)); }
+inline Micros toMicros(double ms) {
+  return static_cast<Micros>(std::llround(ms * 1000.0));
+}
+inline Micros span(const json& o, const char* name) {
+  return toMicros(number(o, name));
+}
 inline Micros span(const json& o, const char* name, Micros otherwise) {
   return absent(o, name) ? otherwise : span(o, name);
 }
-inline double toMs(Micros t) { return static_cast<double>(t) / 1000.0; }
+inline double toMs(Micros t) {
+  return static_cast<double>(t) / 1000.0;
+}
 
 template <class T>
 T oneOf(const std::string& word, std::initializer_list<std::pair<const char*, T>> words, const char* name) {
   for (const auto& [w, value] : words)
-    if (word == w) return value;
+    if (word == w)
+      return value;
   bad(std::string("unknown value of ") + name + ": " + word);
 }
 
--- a/src/protocol/settings_reader.cpp
+++ b/src/protocol/settings_reader.cpp
@@ -30,7 +30,8 @@
   s.late = oneOf<LateRule>(text(d, "Late", "line"), {{"line", LateRule::line}, {"halves", LateRule::halves}},
                            "Late");
   if (!absent(d, "ZoneFee"))
-    for (const json& z : array(d, "ZoneFee")) s.zone_fee.push_back(z.is_number() ? z.get<double>() : 0);
+    for (const json& z : array(d, "ZoneFee"))
+      s.zone_fee.push_back(z.is_number() ? z.get<double>() : 0);
   if (!absent(o, "Kinds"))
     for (const json& k : array(o, "Kinds"))
       s.kinds.push_back({k.is_string() ? k.get<std::string>() : "", false, 1});
@@ -64,7 +65,8 @@
 }
 
 void require(bool good, const char* field) {
-  if (!good) bad(std::string("settings: ") + field);
+  if (!good)
+    bad(std::string("settings: ") + field);
 }
 
 }  // namespace
@@ -77,8 +79,10 @@
     require(c.memory >= 0, "classes.memory");
     require(c.worth >= 0 && c.late_worth >= 0 && c.aim_stretch >= 0, "classes.worth");
   }
-  for (const auto& t : s.tenants) require(t.quota >= 0, "tenants.quota");
-  for (const auto& k : s.kinds) require(k.per_call >= 1, "kinds.per_call");
+  for (const auto& t : s.tenants)
+    require(t.quota >= 0, "tenants.quota");
+  for (const auto& k : s.kinds)
+    require(k.per_call >= 1, "kinds.per_call");
   require(s.senders >= 1, "senders");
   require(s.slots >= 1, "slots");
   require(s.max_open >= 1, "max_open");
@@ -93,12 +97,14 @@
 
 Settings readSettings(const json& o) {
   Settings s;
-  for (const json& c : array(o, "Categories")) s.classes.push_back(readClass(c));
+  for (const json& c : array(o, "Categories"))
+    s.classes.push_back(readClass(c));
   if (!absent(o, "Tenants"))
     for (const json& t : array(o, "Tenants"))
       s.tenants.push_back({text(t, "Name"), number(t, "QuotaRps", 0), number(t, "Share", 0)});
   if (!absent(o, "Azs"))
-    for (const json& z : array(o, "Azs")) s.zones.push_back(z.is_string() ? z.get<std::string>() : "");
+    for (const json& z : array(o, "Azs"))
+      s.zones.push_back(z.is_string() ? z.get<std::string>() : "");
   s.weights = oneOf<WeightKind>(text(o, "WeightKind", "silent"),
                                 {{"silent", WeightKind::none},
                                  {"nominal", WeightKind::nominal},
--- a/src/storage/file_system.cpp
+++ b/src/storage/file_system.cpp
@@ -10,21 +10,32 @@
 
 namespace delivery {
 
-int Files::open(const std::string& path, int flags) { return ::open(path.c_str(), flags | O_CLOEXEC, 0644); }
-ssize_t Files::read(int fd, char* to, std::size_t size) { return ::read(fd, to, size); }
-ssize_t Files::write(int fd, const char* from, std::size_t size) { return ::write(fd, from, size); }
-int Files::truncate(int fd, off_t size) { return ::ftruncate(fd, size); }
+int Files::open(const std::string& path, int flags) {
+  return ::open(path.c_str(), flags | O_CLOEXEC, 0644);
+}
+ssize_t Files::read(int fd, char* to, std::size_t size) {
+  return ::read(fd, to, size);
+}
+ssize_t Files::write(int fd, const char* from, std::size_t size) {
+  return ::write(fd, from, size);
+}
+int Files::truncate(int fd, off_t size) {
+  return ::ftruncate(fd, size);
+}
 
 off_t Files::size(int fd) {
   struct stat s {};
   return ::fstat(fd, &s) == 0 ? s.st_size : -1;
 }
 
-int Files::sync(int fd) { return ::fdatasync(fd); }
+int Files::sync(int fd) {
+  return ::fdatasync(fd);
+}
 
 int Files::syncFolder(const std::string& path) {
   const int fd = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  if (fd < 0) return -1;
+  if (fd < 0)
+    return -1;
   const int done = ::fsync(fd), why = errno;
   ::close(fd);
   errno = why;
@@ -34,8 +45,12 @@
 int Files::rename(const std::string& from, const std::string& to) {
   return ::rename(from.c_str(), to.c_str());
 }
-int Files::unlink(const std::string& path) { return ::unlink(path.c_str()); }
-void Files::close(int fd) { ::close(fd); }
+int Files::unlink(const std::string& path) {
+  return ::unlink(path.c_str());
+}
+void Files::close(int fd) {
+  ::close(fd);
+}
 
 Files& Files::system() {
   static Files files;
--- a/src/storage/journal_format.cpp
+++ b/src/storage/journal_format.cpp
@@ -33,7 +33,8 @@
 
 template <class Unsigned>
 void put(std::string& out, Unsigned v) {
-  for (std::size_t i = 0; i < sizeof v; ++i) out.push_back(static_cast<char>(v >> (8 * i) & 0xff));
+  for (std::size_t i = 0; i < sizeof v; ++i)
+    out.push_back(static_cast<char>(v >> (8 * i) & 0xff));
 }
 template <class Unsigned>
 Unsigned get(std::string_view in, std::size_t at) {
@@ -79,7 +80,8 @@
   bool truth() { return version_ == 1 ? number() != 0 : small() != 0; }
   std::string text() {
     const std::uint64_t n = version_ == 1 ? next<std::uint64_t>() : next<std::uint32_t>();
-    if (n > in_.size() - at_) throw ShortRecord();
+    if (n > in_.size() - at_)
+      throw ShortRecord();
     std::string s(in_.substr(at_, n));
     at_ += n;
     return s;
@@ -89,7 +91,8 @@
  private:
   template <class Unsigned>
   Unsigned next() {
-    if (in_.size() - at_ < sizeof(Unsigned)) throw ShortRecord();
+    if (in_.size() - at_ < sizeof(Unsigned))
+      throw ShortRecord();
     const Unsigned v = get<Unsigned>(in_, at_);
     at_ += sizeof(Unsigned);
     return v;
@@ -145,8 +148,12 @@
 std::string owedPayload(const std::string& id, const Notice& n) {
   return Writer(kOwed).text(id).small(n.handed_back).number(n.retry_in_ms).out();
 }
-std::string overPayload(const std::string& id) { return Writer(kOver).text(id).out(); }
-std::string listPayload(const std::string& list) { return Writer(kList).text(list).out(); }
+std::string overPayload(const std::string& id) {
+  return Writer(kOver).text(id).out();
+}
+std::string listPayload(const std::string& list) {
+  return Writer(kList).text(list).out();
+}
 std::string ailingPayload(const Ailment& a, const DiskClock& clock) {
   return Writer(kAiling)
       .text(a.endpoint)
@@ -186,20 +193,26 @@
     const char version = all[from + 3];
     const std::uint32_t size = get<std::uint32_t>(all, from + 4), crc = get<std::uint32_t>(all, from + 8);
     if (version == '1') {
-      if (size < 1 || size > kLargest || size > all.size() - from - kHead1) return std::nullopt;
+      if (size < 1 || size > kLargest || size > all.size() - from - kHead1)
+        return std::nullopt;
       const std::string_view payload = all.substr(from + kHead1, size);
-      if (crcOf(payload) != crc) return std::nullopt;
+      if (crcOf(payload) != crc)
+        return std::nullopt;
       return std::make_pair(JournalScan::Record{number + 1, 1, payload}, kHead1 + size);
     }
-    if (version != '2' || all.size() - from < kHead2) return std::nullopt;
-    if (crcOf(all.substr(from, kHead1)) != get<std::uint32_t>(all, from + kHead1)) return std::nullopt;
-    if (size <= kNumberSize || size > kLargest) return std::nullopt;
+    if (version != '2' || all.size() - from < kHead2)
+      return std::nullopt;
+    if (crcOf(all.substr(from, kHead1)) != get<std::uint32_t>(all, from + kHead1))
+      return std::nullopt;
+    if (size <= kNumberSize || size > kLargest)
+      return std::nullopt;
     if (size > all.size() - from - kHead2) {
       cut_short = true;  // if nothing sound follows
       return std::nullopt;
     }
     const std::string_view payload = all.substr(from + kHead2, size);
-    if (crcOf(payload) != crc) return std::nullopt;
+    if (crcOf(payload) != crc)
+      return std::nullopt;
     return std::make_pair(
         JournalScan::Record{get<std::uint64_t>(payload, 0), kJournalVersion, payload.substr(kNumberSize)},
         kHead2 + size);
@@ -210,7 +223,8 @@
     if (auto found = soundAt(at)) {
       if (gap) {
         scan.damaged.emplace_back(gap_from, at);
-        if (found->first.version == 1) ++found->first.number;
+        if (found->first.version == 1)
+          ++found->first.number;
       }
       gap = false;
       torn_from = std::string::npos;
@@ -223,7 +237,8 @@
     if (!gap) {
       gap = true;
       gap_from = at;
-      if (cut_short || all.size() - at < kHead2) torn_from = at;
+      if (cut_short || all.size() - at < kHead2)
+        torn_from = at;
     }
     at = std::min(all.find(kMarkStart, at + 1), all.size());
   }
@@ -232,7 +247,8 @@
     const bool old = !scan.records.empty() && scan.records.back().version == 1;
     scan.torn = torn_from == gap_from || old;
     scan.damaged_tail = !scan.torn;
-    if (scan.damaged_tail) scan.damaged.emplace_back(gap_from, all.size());
+    if (scan.damaged_tail)
+      scan.damaged.emplace_back(gap_from, all.size());
   }
   const auto before = [](const auto& a, const auto& b) { return a.number < b.number; };
   std::stable_sort(scan.records.begin(), scan.records.end(), before);
@@ -277,9 +293,12 @@
     e.message.destination = r.number();
     e.message.give_up_at = clock.deadlineFromDisk(r.number());
     e.message.repeat = r.truth();
-    if (r.more()) e.message.tenant = r.text();  // a journal from before tenants were kept has none
-    if (r.more()) e.message.span = r.number();
-    if (open) return Applied::contradicts;  // its attempts are not forgotten
+    if (r.more())
+      e.message.tenant = r.text();  // a journal from before tenants were kept has none
+    if (r.more())
+      e.message.span = r.number();
+    if (open)
+      return Applied::contradicts;  // its attempts are not forgotten
     e.order = ++next_order_;
     entries[id] = std::move(e);
     return Applied::yes;
@@ -288,32 +307,39 @@
     JournaledAttempt a;
     a.endpoint = r.text();
     a.sent = clock.fromDisk(r.number());
-    if (!open || it->second.ended) return Applied::contradicts;
+    if (!open || it->second.ended)
+      return Applied::contradicts;
     it->second.attempts.push_back(std::move(a));
   } else if (type == kNeverRan) {
     const std::size_t n = r.small();
-    if (!open || n >= it->second.attempts.size()) return Applied::contradicts;
+    if (!open || n >= it->second.attempts.size())
+      return Applied::contradicts;
     it->second.attempts[n].never_ran = true;
   } else if (type == kOwed) {
     Notice n;
     n.handed_back = r.truth();
     n.retry_in_ms = r.number();
-    if (!open || it->second.ended) return Applied::contradicts;
+    if (!open || it->second.ended)
+      return Applied::contradicts;
     it->second.ended = true;
     it->second.notice = n;
   } else if (type == kOver) {
-    if (!open) return Applied::contradicts;
+    if (!open)
+      return Applied::contradicts;
     entries.erase(it);
   } else {
     return Applied::unreadable;
   }
   return Applied::yes;
-} catch (const ShortRecord&) { return Applied::unreadable; }
+} catch (const ShortRecord&) {
+  return Applied::unreadable;
+}
 
 void JournalState::doubt() {
   constexpr Micros kLongAgo = INT64_MIN / 4;
   for (auto& [id, e] : entries)
-    if (!e.ended) e.attempts.push_back({"", e.attempts.empty() ? kLongAgo : e.attempts.back().sent, false});
+    if (!e.ended)
+      e.attempts.push_back({"", e.attempts.empty() ? kLongAgo : e.attempts.back().sent, false});
 }
 
 JournalReading readJournal(const std::string& data, const Clocks& now) {
@@ -321,11 +347,15 @@
   r.scan = scanJournal(data);
   Micros newest = 0;
   for (const auto& record : r.scan.records) {
-    if (record.version == 1) continue;
+    if (record.version == 1)
+      continue;
     try {
-      if (record.payload[0] == kVersion) r.head = headOf(record.payload);
-      if (record.payload[0] == kAttempted) newest = std::max(newest, sentIn(record.payload));
-    } catch (const ShortRecord&) {}  // counted below
+      if (record.payload[0] == kVersion)
+        r.head = headOf(record.payload);
+      if (record.payload[0] == kAttempted)
+        newest = std::max(newest, sentIn(record.payload));
+    } catch (const ShortRecord&) {
+    }  // counted below
   }
   // The clock goes on if the boot is the same, and it has not gone back: then it would be another one.
   newest = std::max(newest, r.head.at);
@@ -353,7 +383,8 @@
         break;
     }
   }
-  if (r.scan.damaged_tail || r.power_cut) r.state.doubt();
+  if (r.scan.damaged_tail || r.power_cut)
+    r.state.doubt();
   if (!r.same_clock)
     for (auto& [id, e] : r.state.entries)
       if (e.message.span > 0)
--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -15,14 +15,17 @@
   s.classes[1].worth = 4;
   Rig r(s);
   r.list({makeEndpoint("e1", 1)});
-  for (int i = 0; i < 4; ++i) r.arrive("cheap" + std::to_string(i), "safe", 1);
+  for (int i = 0; i < 4; ++i)
+    r.arrive("cheap" + std::to_string(i), "safe", 1);
   std::vector<std::string> refused;
   for (int i = 0; i < 8; ++i) {
     r.arrive("dear" + std::to_string(i), "keyed", 1);
-    for (const auto& x : r.got<Refuse>()) refused.push_back(x.id);
+    for (const auto& x : r.got<Refuse>())
+      refused.push_back(x.id);
   }
   ASSERT_GE(refused.size(), 2u);
-  for (std::size_t i = 0; i < 2; ++i) EXPECT_EQ(refused[i].substr(0, 5), "cheap");
+  for (std::size_t i = 0; i < 2; ++i)
+    EXPECT_EQ(refused[i].substr(0, 5), "cheap");
 }
 
 TEST(Admission, AMessageWhoseTimeIsOverIsAnsweredAndNeverSent) {
@@ -88,7 +91,8 @@
     s.slots = 4;
     Rig r(s);
     std::vector<Endpoint> all;
-    for (int d = 0; d < 50; ++d) all.push_back(makeEndpoint("e" + std::to_string(d), d));
+    for (int d = 0; d < 50; ++d)
+      all.push_back(makeEndpoint("e" + std::to_string(d), d));
     r.list(all);
     for (int i = 0; i < 8; ++i) {
       const std::string id = "w" + std::to_string(i);
@@ -97,7 +101,8 @@
     }
     std::vector<Event> heap;
     for (int i = 0; i < 40; ++i)
-      if (busy || i < 4) heap.push_back(r.arrival("m" + std::to_string(i), "safe", i));
+      if (busy || i < 4)
+        heap.push_back(r.arrival("m" + std::to_string(i), "safe", i));
     r.run(heap);
     return r.got<Refuse>().size();
   };
@@ -116,7 +121,8 @@
   s.classes[1].worth = 4;
   Rig r(s);
   r.list({makeEndpoint("e1", 1)});
-  for (int i = 0; i < 9; ++i) r.at(r.now + 400 * kMs).arrive("taken" + std::to_string(i), "safe", 1);
+  for (int i = 0; i < 9; ++i)
+    r.at(r.now + 400 * kMs).arrive("taken" + std::to_string(i), "safe", 1);
   ASSERT_EQ(r.got<Refuse>().size(), 0u);  // one of them is out, and all wait for it
   for (int i = 0; i < 4; ++i) {
     const std::string id = "new" + std::to_string(i);
@@ -138,23 +144,28 @@
   s.slots = 4;
   Rig r(s);
   std::vector<Endpoint> all;
-  for (int d = 0; d < 50; ++d) all.push_back(makeEndpoint("e" + std::to_string(d), d));
+  for (int d = 0; d < 50; ++d)
+    all.push_back(makeEndpoint("e" + std::to_string(d), d));
   r.list(all);
   for (int i = 0; i < 8; ++i) {
     const std::string id = "w" + std::to_string(i);
     r.at(r.now + kS).arrive(id, "safe", i);
     r.at(r.now + 500 * kMs).end(id, 0, Result::ok, 500 * kMs);
   }
-  for (int i = 0; i < 4; ++i) r.arrive("out" + std::to_string(i), "safe", i);
-  for (int i = 4; i < 12; ++i) r.arrive("taken" + std::to_string(i), "safe", i);
+  for (int i = 0; i < 4; ++i)
+    r.arrive("out" + std::to_string(i), "safe", i);
+  for (int i = 4; i < 12; ++i)
+    r.arrive("taken" + std::to_string(i), "safe", i);
   ASSERT_EQ(r.got<Refuse>().size(), 0u);  // so far the wait for a slot is short
   const Micros deadline = r.set.classes[0].deadline, from = r.now;
   std::vector<std::string> refused;
   const auto take = [&] {
-    for (const Refuse& x : r.got<Refuse>()) refused.push_back(x.id);
+    for (const Refuse& x : r.got<Refuse>())
+      refused.push_back(x.id);
   };
   std::vector<Event> heap;
-  for (int i = 12; i < 44; ++i) heap.push_back(r.arrival("new" + std::to_string(i), "safe", i));
+  for (int i = 12; i < 44; ++i)
+    heap.push_back(r.arrival("new" + std::to_string(i), "safe", i));
   r.run(heap);
   take();
   EXPECT_GE(refused.size(), 16u);
@@ -162,7 +173,8 @@
     r.at(r.now + 100 * kMs).wake();
     take();
   }
-  for (const std::string& id : refused) EXPECT_NE(id.substr(0, 5), "taken") << id;
+  for (const std::string& id : refused)
+    EXPECT_NE(id.substr(0, 5), "taken") << id;
 }
 
 }  // namespace
--- a/tests/decision/attempts_test.cpp
+++ b/tests/decision/attempts_test.cpp
@@ -23,7 +23,8 @@
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   r.arrive("p", "unsafe", 1);
   Ids sent = r.at(kS).end("p", 0, Result::connect_failed);
-  for (int i = 1; i < 40 && sent.empty(); ++i) sent = r.at(kS + i * 100 * kMs).wake();
+  for (int i = 1; i < 40 && sent.empty(); ++i)
+    sent = r.at(kS + i * 100 * kMs).wake();
   EXPECT_EQ(sent, Ids{"p"});
 }
 
@@ -33,7 +34,8 @@
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "batch")});  // three messages a call
   std::vector<Event> all;
-  for (int i = 0; i < 4; ++i) all.push_back(r.arrival("m" + std::to_string(i), "safe", 1));
+  for (int i = 0; i < 4; ++i)
+    all.push_back(r.arrival("m" + std::to_string(i), "safe", 1));
   EXPECT_EQ(r.run(all).size(), 3u);
   r.at(50 * kMs).end("m0", 0, Result::ok);
   r.end("m1", 0, Result::ok);
@@ -67,7 +69,8 @@
       const std::string id = "m" + std::to_string(i);
       r.at(r.now + gap).arrive(id, "safe", 1);
       r.at(r.now + 50 * kMs).end(id, 0, Result::ok, 50 * kMs);
-      if (i >= 20) n += r.got<CloseIdle>().size();
+      if (i >= 20)
+        n += r.got<CloseIdle>().size();
     }
     return n;
   };
@@ -84,7 +87,8 @@
   r.arrive("m", "safe", 1);
   r.at(100 * kMs).end("m", 0, Result::error);
   Ids sent;
-  while (sent.empty() && r.now < 19 * kS) sent = r.at(r.now + 50 * kMs).wake();
+  while (sent.empty() && r.now < 19 * kS)
+    sent = r.at(r.now + 50 * kMs).wake();
   EXPECT_EQ(sent, Ids{"m"});
   EXPECT_GE(r.now, 100 * kMs + s.classes[0].aim);
 }
@@ -106,11 +110,13 @@
       r.at(r.now + 50 * kMs).end(id, 0, result, 50 * kMs);
       return r.got<CloseIdle>().empty();
     };
-    for (int i = 0; i < 200; ++i) call(Result::ok);
+    for (int i = 0; i < 200; ++i)
+      call(Result::ok);
     EXPECT_TRUE(call(Result::ok));  // busy enough to be worth keeping
     call(Result::connect_failed);
     std::vector<std::string> sent;
-    while (sent.empty()) sent = r.at(r.now + 50 * kMs).wake();
+    while (sent.empty())
+      sent = r.at(r.now + 50 * kMs).wake();
     r.at(r.now + 50 * kMs).end(sent[0], 1, Result::ok, 50 * kMs);
     return r.got<CloseIdle>().empty();
   };
@@ -130,7 +136,8 @@
     r.list({makeEndpoint("e1", 1)});
     r.arrive("m", "safe", 1);
     r.at(50 * kMs).end("m", 0, Result::connect_failed, 50 * kMs);
-    while (r.at(r.now + 10 * kMs).wake().empty() && r.now < 19 * kS) continue;
+    while (r.at(r.now + 10 * kMs).wake().empty() && r.now < 19 * kS)
+      continue;
     EXPECT_GE(r.now, 2 * kS);  // an aim
     back.insert(r.now / (500 * kMs));
   }
--- a/tests/decision/bound_test.cpp
+++ b/tests/decision/bound_test.cpp
@@ -17,7 +17,8 @@
   EXPECT_TRUE(r.at(790 * kMs).wake().empty());
   Ids later;
   for (int i = 0; i < 100; ++i)
-    for (const auto& id : r.at(800 * kMs + i * 50 * kMs).wake()) later.push_back(id);
+    for (const auto& id : r.at(800 * kMs + i * 50 * kMs).wake())
+      later.push_back(id);
   EXPECT_EQ(later.size(), 2u);
 }
 
@@ -31,11 +32,13 @@
   s.classes[0].deadline = 100 * kS;
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 20)});  // 20 calls a second from all senders
-  for (int i = 0; i < 60; ++i) r.arrive("m" + std::to_string(i), "safe", 1);
+  for (int i = 0; i < 60; ++i)
+    r.arrive("m" + std::to_string(i), "safe", 1);
   std::map<std::string, int> tries;
   std::vector<Micros> sent_at;
   std::vector<std::string> out;
-  for (auto& [id, e] : r.where) out.push_back(id);
+  for (auto& [id, e] : r.where)
+    out.push_back(id);
   const Micros back = 8 * kS;
   for (Micros t = 100 * kMs; t < 40 * kS; t += 20 * kMs) {
     std::vector<Event> events{Wake{}};
@@ -44,7 +47,8 @@
       events.push_back(r.outcome(id, tries[id]++, t < back ? Result::connect_failed : Result::ok, 20 * kMs));
     out = r.run(events);
     for (std::size_t i = 0; i < out.size(); ++i)
-      if (t >= back) sent_at.push_back(t);
+      if (t >= back)
+        sent_at.push_back(t);
   }
   ASSERT_GT(sent_at.size(), 20u);
   // Within the first span after the return, and one trial more for chance.
@@ -62,7 +66,8 @@
   for (int i = 0; i < steps; ++i) {
     std::vector<Event> events{Wake{}};
     r.at(r.now + 50 * kMs);
-    for (const auto& id : out) events.emplace_back(r.outcome(id, tries[id]++, Result::ok, 50 * kMs));
+    for (const auto& id : out)
+      events.emplace_back(r.outcome(id, tries[id]++, Result::ok, 50 * kMs));
     out = r.run(events);
     n += out.size();
   }
@@ -80,7 +85,8 @@
     r.arrive("x", "safe", 1);
     r.at(100 * kMs).end("x", 0, refused ? Result::full : Result::ok);
     std::vector<Event> all;
-    for (int i = 0; i < 100; ++i) all.emplace_back(r.arrival("m" + std::to_string(i), "safe", 1));
+    for (int i = 0; i < 100; ++i)
+      all.emplace_back(r.arrival("m" + std::to_string(i), "safe", 1));
     return startsWhenAnswered(r, all, 40, {{"x", 1}});
   };
   EXPECT_LT(count(true), count(false));
@@ -103,8 +109,10 @@
     const bool refuses = t >= from && t < until;
     for (const auto& id : out)
       events.push_back(r.outcome(id, tries[id]++, refuses ? Result::full : Result::ok));
-    if (!refuses) served += out.size();
-    if (t % (100 * kMs) == 0) events.push_back(r.arrival("m" + std::to_string(arrived++), "safe", 1));
+    if (!refuses)
+      served += out.size();
+    if (t % (100 * kMs) == 0)
+      events.push_back(r.arrival("m" + std::to_string(arrived++), "safe", 1));
     events.push_back(Wake{});
     out = r.run(events);
   }
@@ -128,7 +136,8 @@
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 4)});
   std::vector<Event> all;
-  for (int i = 0; i < 100; ++i) all.emplace_back(r.arrival("m" + std::to_string(i), "safe", 1));
+  for (int i = 0; i < 100; ++i)
+    all.emplace_back(r.arrival("m" + std::to_string(i), "safe", 1));
   const std::size_t n = startsWhenAnswered(r, all, 60, {});
   EXPECT_GE(n, 12u);
   EXPECT_LE(n, 16u);  // 4 a second for 3 s, and half a second's burst
@@ -146,7 +155,8 @@
   r.arrive("m1", "safe", 1);
   r.at(kS).end("m1", 0, Result::timeout, kS);
   std::size_t n = 0;
-  for (int i = 0; i < 10; ++i) n += r.at(r.now + 200 * kMs).arrive("x" + std::to_string(i), "safe", 1).size();
+  for (int i = 0; i < 10; ++i)
+    n += r.at(r.now + 200 * kMs).arrive("x" + std::to_string(i), "safe", 1).size();
   EXPECT_LE(n, 1u);  // a trial at most
 }
 
@@ -172,7 +182,8 @@
   r.at(r.now + 10 * kMs).arrive("patient", "safe", 1);
   Ids sent;
   const Micros from = r.now;
-  while (sent.empty() && r.now < from + 40 * kS) sent = r.at(r.now + 50 * kMs).wake();
+  while (sent.empty() && r.now < from + 40 * kS)
+    sent = r.at(r.now + 50 * kMs).wake();
   EXPECT_LT(r.now - from, 15 * kS);
 }
 
@@ -205,7 +216,8 @@
     r.arrive("m", "safe", 1);
     r.at(50 * kMs).end("m", 0, Result::full, 50 * kMs, 3 * kS);
     Ids sent;
-    for (Micros t = 100 * kMs; sent.empty() && t < 19 * kS; t += 50 * kMs) sent = r.at(t).wake();
+    for (Micros t = 100 * kMs; sent.empty() && t < 19 * kS; t += 50 * kMs)
+      sent = r.at(t).wake();
     EXPECT_GE(r.now, 3 * kS + 50 * kMs);
     back.push_back(r.now);
   }
@@ -225,7 +237,8 @@
   r.at(kS).end("m", 0, Result::timeout, kS);
   int tries = 1;
   while (r.now < 19 * kS)
-    if (!r.at(r.now + 50 * kMs).wake().empty()) r.end("m", tries++, Result::timeout, 50 * kMs);
+    if (!r.at(r.now + 50 * kMs).wake().empty())
+      r.end("m", tries++, Result::timeout, 50 * kMs);
   EXPECT_LE(tries, 2);
 }
 
--- a/tests/decision/health_test.cpp
+++ b/tests/decision/health_test.cpp
@@ -14,7 +14,8 @@
   s.conn_idle = 60 * kS;
   Rig r(s);
   std::vector<Endpoint> all;
-  for (int d = 1; d <= 6; ++d) all.push_back(makeEndpoint("e" + std::to_string(d), d));
+  for (int d = 1; d <= 6; ++d)
+    all.push_back(makeEndpoint("e" + std::to_string(d), d));
   r.list(all);
   Micros t = 0;
   int n = 0;
@@ -26,13 +27,15 @@
     t += rtt + 10 * kMs;
   };
   for (int i = 0; i < 10; ++i)
-    for (int d = 1; d <= 6; ++d) call(d, Result::ok, 100 * kMs);
+    for (int d = 1; d <= 6; ++d)
+      call(d, Result::ok, 100 * kMs);
   EXPECT_TRUE(r.got<CloseIdle>().empty());
   for (int d = 1; d <= 5; ++d) {
     t += kS;
     call(d, Result::timeout, 900 * kMs);  // lost on the reused connection
     std::vector<std::string> sent;
-    while (sent.empty()) sent = r.at(t += 50 * kMs).wake();
+    while (sent.empty())
+      sent = r.at(t += 50 * kMs).wake();
     r.at(t += 100 * kMs).end(sent[0], 1, Result::ok);  // its further try, on a fresh one
   }
   t = r.now + kS;
@@ -49,7 +52,8 @@
   s.conn_idle = 60 * kS;
   Rig r(s);
   std::vector<Endpoint> all;
-  for (int d = 1; d <= 6; ++d) all.push_back(makeEndpoint("e" + std::to_string(d), d));
+  for (int d = 1; d <= 6; ++d)
+    all.push_back(makeEndpoint("e" + std::to_string(d), d));
   r.list(all);
   Micros t = 0;
   int n = 0;
@@ -63,11 +67,14 @@
     t += rtt + 10 * kMs;
   };
   for (int round = 0; round < 8; ++round) {
-    for (int d = 1; d <= 6; ++d) call(d, Result::ok, 100 * kMs);
-    if (round < 3) continue;
+    for (int d = 1; d <= 6; ++d)
+      call(d, Result::ok, 100 * kMs);
+    if (round < 3)
+      continue;
     call(6, Result::timeout, 900 * kMs);  // on the connection used 10 ms ago
     std::vector<std::string> sent;
-    while (sent.empty()) sent = r.at(t += 50 * kMs).wake();
+    while (sent.empty())
+      sent = r.at(t += 50 * kMs).wake();
     r.at(t += 100 * kMs).end(sent[0], 1, Result::ok);  // its further try, on a fresh one
     t += 10 * kMs;
   }
@@ -85,7 +92,8 @@
   Rig r(s);
   std::vector<Endpoint> all;
   for (int d = 1; d <= 3; ++d)
-    for (const char* e : {"a", "b"}) all.push_back(makeEndpoint(e + std::to_string(d), d));
+    for (const char* e : {"a", "b"})
+      all.push_back(makeEndpoint(e + std::to_string(d), d));
   r.list(all);
   int n = 0;
   auto call = [&](int d, Result result, Micros rtt) {
@@ -97,13 +105,15 @@
   };
   // Busy enough that connections are worth keeping.
   for (int i = 0; i < 200; ++i)
-    for (int d = 1; d <= 3; ++d) call(d, Result::ok, 20 * kMs);
+    for (int d = 1; d <= 3; ++d)
+      call(d, Result::ok, 20 * kMs);
   for (int d = 1; d <= 2; ++d) {
     r.at(r.now + 2 * kS);
     const std::string lost = call(d, Result::timeout, 900 * kMs);
     const std::string first = r.where[lost];
     std::vector<std::string> sent;
-    while (sent.empty()) sent = r.at(r.now + 50 * kMs).wake();
+    while (sent.empty())
+      sent = r.at(r.now + 50 * kMs).wake();
     EXPECT_NE(r.where[lost], first);
     r.at(r.now + 50 * kMs).end(sent[0], 1, Result::ok, 50 * kMs);
   }
@@ -155,10 +165,12 @@
   r.at(r.now + kS).run({r.arrival("a", "safe", 1), r.arrival("b", "safe", 1), r.arrival("c", "safe", 1)});
   r.at(r.now + kS);
   std::vector<Event> more;
-  for (int i = 0; i < 5; ++i) more.emplace_back(r.arrival("m" + std::to_string(i), "safe", 1));
+  for (int i = 0; i < 5; ++i)
+    more.emplace_back(r.arrival("m" + std::to_string(i), "safe", 1));
   EXPECT_LE(r.run(more).size(), 1u);  // a trial, where the lane has room for seven
   std::size_t n = 0;
-  for (int i = 0; i < 10; ++i) n += r.at(r.now + 100 * kMs).wake().size();
+  for (int i = 0; i < 10; ++i)
+    n += r.at(r.now + 100 * kMs).wake().size();
   EXPECT_LE(n, 2u);
 }
 
@@ -169,7 +181,8 @@
   s.slots = 4;
   Rig r(s);
   std::vector<Endpoint> all;
-  for (int d = 1; d <= 6; ++d) all.push_back(makeEndpoint("e" + std::to_string(d), d));
+  for (int d = 1; d <= 6; ++d)
+    all.push_back(makeEndpoint("e" + std::to_string(d), d));
   r.list(all);
   for (int d = 1; d <= 6; ++d) {
     const std::string id = "w" + std::to_string(d);
--- a/tests/decision/property_test.cpp
+++ b/tests/decision/property_test.cpp
@@ -42,7 +42,8 @@
   void step() {
     std::vector<Event> events;
     now_ += set_.tick * (1 + below(20));
-    if (below(400) == 0) now_ += 3 * kS;  // the host was away
+    if (below(400) == 0)
+      now_ += 3 * kS;  // the host was away
     if (wake_ > 0 && now_ >= wake_) {
       wake_ = 0;
       events.push_back(Wake{});
@@ -56,15 +57,20 @@
       for (std::size_t i = 0; i < m.tries.size(); ++i)
         if (m.tries[i].out && due_[{id, static_cast<int>(i)}] <= now_)
           events.push_back(end(id, static_cast<int>(i), Result::timeout));
-    for (int n = below(4); n > 0; --n) arrive(events);
+    for (int n = below(4); n > 0; --n)
+      arrive(events);
     for (auto& [id, m] : msgs_)
       for (std::size_t i = 0; i < m.tries.size(); ++i)
         if (m.tries[i].out && below(12) == 0)
           events.push_back(end(id, static_cast<int>(i), anyResult(m.dest)));
-    if (below(60) == 0) changeList(events);
-    if (below(90) == 0) events.push_back(ListUpdate{ListKind::failed, {}});
-    if (below(50) == 0) events.push_back(Outcome{});  // names nothing
-    if (!events.empty()) turn(events);
+    if (below(60) == 0)
+      changeList(events);
+    if (below(90) == 0)
+      events.push_back(ListUpdate{ListKind::failed, {}});
+    if (below(50) == 0)
+      events.push_back(Outcome{});  // names nothing
+    if (!events.empty())
+      turn(events);
   }
 
   void drain() {
@@ -80,9 +86,11 @@
         for (std::size_t i = 0; i < m.tries.size(); ++i)
           if (m.tries[i].out && due_[{id, static_cast<int>(i)}] <= now_)
             events.push_back(end(id, static_cast<int>(i), Result::timeout));
-      if (!events.empty()) turn(events);
+      if (!events.empty())
+        turn(events);
     }
-    for (auto& [id, m] : msgs_) EXPECT_TRUE(m.ended) << id;
+    for (auto& [id, m] : msgs_)
+      EXPECT_TRUE(m.ended) << id;
   }
 
   int answered = 0;
@@ -99,13 +107,16 @@
 
   void arrive(std::vector<Event>& events) {
     int open = 0;
-    for (auto& [id, m] : msgs_) open += !m.ended;
-    if (open >= set_.max_open) return;
+    for (auto& [id, m] : msgs_)
+      open += !m.ended;
+    if (open >= set_.max_open)
+      return;
     const std::string id = "m" + std::to_string(++count_);
     Msg m;
     m.cls = &set_.classes[static_cast<std::size_t>(below(static_cast<int>(set_.classes.size())))];
     m.dest = below(6);  // the last has no endpoint
-    if (m.cls->ordered && below(4)) m.key = "k" + std::to_string(below(3));
+    if (m.cls->ordered && below(4))
+      m.key = "k" + std::to_string(below(3));
     m.give_up = now_ + (below(5) ? m.cls->deadline : Micros{below(800)} * kMs);  // some come with little time
     m.order = static_cast<std::uint64_t>(count_);
     Arrival a;
@@ -132,7 +143,8 @@
     o.attempt = i;
     o.result = r;
     o.rtt = now_ - t.sent;
-    if (r == Result::ok) m.ended = true;
+    if (r == Result::ok)
+      m.ended = true;
     o.finished = m.ended;
     if (r == Result::full && below(2)) {
       o.wait = (1 + below(900)) * kMs;
@@ -140,7 +152,8 @@
       Micros& w = waits_[apart ? t.endpoint : "d" + std::to_string(m.dest)];
       w = std::max(w, now_ + o.wait);
     }
-    if (below(2)) o.report = LimitReport{0.5, 1.0 + below(30)};
+    if (below(2))
+      o.report = LimitReport{0.5, 1.0 + below(30)};
     return o;
   }
 
@@ -148,7 +161,8 @@
     for (const Endpoint& e : list_)
       if (e.id == endpoint)
         for (const Kind& k : set_.kinds)
-          if (k.name == e.kind) return k;
+          if (k.name == e.kind)
+            return k;
     return set_.kinds[0];
   }
 
@@ -167,24 +181,29 @@
         onSend(*s);
         ++sent_to[s->endpoint];
       }
-      if (const auto* r = std::get_if<Refuse>(&a)) final(r->id, true);
-      if (const auto* f = std::get_if<Fail>(&a)) final(f->id, false);
+      if (const auto* r = std::get_if<Refuse>(&a))
+        final(r->id, true);
+      if (const auto* f = std::get_if<Fail>(&a))
+        final(f->id, false);
       if (const auto* w = std::get_if<WakeIn>(&a))
         wake_ = wake_ > now_ ? std::min(wake_, now_ + w->span) : now_ + w->span;
-      if (const auto* c = std::get_if<Cancel>(&a)) due_[{c->id, c->attempt}] = now_;
+      if (const auto* c = std::get_if<Cancel>(&a))
+        due_[{c->id, c->attempt}] = now_;
     }
     int slots = 0;
     std::map<std::pair<std::string, Micros>, int> calls;
     for (auto& [id, m] : msgs_)
       for (const Try& t : m.tries)
-        if (t.out) ++calls[{t.endpoint, t.sent}];
+        if (t.out)
+          ++calls[{t.endpoint, t.sent}];
     for (auto& [call, n] : calls) {
       const int per = kindOf(call.first).per_call;
       slots += (n + per - 1) / per;
     }
     EXPECT_LE(slots, set_.slots);
     for (auto& [id, m] : msgs_)
-      if (!m.ended) EXPECT_LE(now_, m.give_up + set_.answer_slack + 4 * kS) << id;  // the host may be away
+      if (!m.ended)
+        EXPECT_LE(now_, m.give_up + set_.answer_slack + 4 * kS) << id;  // the host may be away
   }
 
   void final(const std::string& id, bool refuse) {
@@ -193,10 +212,13 @@
     EXPECT_FALSE(m.ended) << "two answers for " << id;
     m.ended = true;
     ++answered;
-    if (!refuse) return;
+    if (!refuse)
+      return;
     const bool ran = std::any_of(m.tries.begin(), m.tries.end(), [](const Try& t) { return t.may_have_run; });
-    if (ran && m.cls->effect == Effect::unsafe) ADD_FAILURE() << "refused what may have run: " << id;
-    if (ran && m.cls->effect == Effect::keyed) EXPECT_EQ(m.cls->group, RepeatGroup::all) << id;
+    if (ran && m.cls->effect == Effect::unsafe)
+      ADD_FAILURE() << "refused what may have run: " << id;
+    if (ran && m.cls->effect == Effect::keyed)
+      EXPECT_EQ(m.cls->group, RepeatGroup::all) << id;
   }
 
   void onSend(const Send& s) {
@@ -206,30 +228,39 @@
     EXPECT_LT(static_cast<int>(m.tries.size()), set_.max_attempts);
     const Endpoint* e = nullptr;
     for (const Endpoint& x : list_)
-      if (x.id == s.endpoint) e = &x;
+      if (x.id == s.endpoint)
+        e = &x;
     ASSERT_NE(e, nullptr);
     EXPECT_EQ(e->destination, m.dest);
     EXPECT_GT(s.timeout, 0);
     EXPECT_LE(now_ + s.timeout, m.give_up);
-    if (off_.count(e->id) && off_[e->id] >= 0) EXPECT_LE(now_, off_[e->id] + set_.drain_grace) << e->id;
+    if (off_.count(e->id) && off_[e->id] >= 0)
+      EXPECT_LE(now_, off_[e->id] + set_.drain_grace) << e->id;
     const std::string scope = kindOf(e->id).routes_apart ? e->id : "d" + std::to_string(m.dest);
-    if (waits_.count(scope)) EXPECT_GE(now_, waits_[scope]) << "wait of " << scope;
+    if (waits_.count(scope))
+      EXPECT_GE(now_, waits_[scope]) << "wait of " << scope;
     for (const Try& t : m.tries) {
-      if (t.out) EXPECT_TRUE(set_.may_copy) << s.id;
-      if (!t.may_have_run) continue;
+      if (t.out)
+        EXPECT_TRUE(set_.may_copy) << s.id;
+      if (!t.may_have_run)
+        continue;
       EXPECT_NE(m.cls->effect, Effect::unsafe) << "unsafe sent twice: " << s.id;
-      if (m.cls->effect != Effect::keyed) continue;
+      if (m.cls->effect != Effect::keyed)
+        continue;
       EXPECT_LE(now_, t.sent + m.cls->memory);
       for (const Endpoint& x : list_)
-        if (x.id == t.endpoint && m.cls->group == RepeatGroup::zone) EXPECT_EQ(x.zone, e->zone);
+        if (x.id == t.endpoint && m.cls->group == RepeatGroup::zone)
+          EXPECT_EQ(x.zone, e->zone);
     }
     if (!m.key.empty()) {
       for (auto& [id, o] : msgs_) {
-        if (o.key != m.key || o.order >= m.order) continue;
+        if (o.key != m.key || o.order >= m.order)
+          continue;
         const bool out = std::any_of(o.tries.begin(), o.tries.end(), [](const Try& t) { return t.out; });
         EXPECT_TRUE(o.ended && !out) << s.id << " before " << id;
       }
-      if (m.tries.empty() && quiet_.count(m.key)) EXPECT_GE(now_, quiet_[m.key]) << m.key;
+      if (m.tries.empty() && quiet_.count(m.key))
+        EXPECT_GE(now_, quiet_[m.key]) << m.key;
     }
     m.tries.push_back({s.endpoint, now_, true, true, Result::ok});
     due_[{s.id, static_cast<int>(m.tries.size()) - 1}] = now_ + s.timeout;
@@ -260,11 +291,14 @@
     s.late = variant % 2 ? LateRule::halves : LateRule::line;
     s.senders = variant % 4 == 3 ? 200 : 1 + variant % 4;
     s.order_pause = 300 * kMs;
-    if (variant % 2) s.tenants = {{"t", 2.0, 0.5}};
+    if (variant % 2)
+      s.tenants = {{"t", 2.0, 0.5}};
     s.classes[static_cast<std::size_t>(variant % 3)].ordered = true;
-    if (variant % 4 == 1) s.classes[1].group = RepeatGroup::zone;
+    if (variant % 4 == 1)
+      s.classes[1].group = RepeatGroup::zone;
     World w(s, static_cast<std::uint64_t>(variant) + 1);
-    for (int i = 0; i < 1500; ++i) w.step();
+    for (int i = 0; i < 1500; ++i)
+      w.step();
     w.drain();
     EXPECT_GT(w.answered, 0);
   }
--- a/tests/decision/restart_test.cpp
+++ b/tests/decision/restart_test.cpp
@@ -42,7 +42,8 @@
   EXPECT_EQ((std::set<std::string>{"safe", "keyed", "untried", "refused"}),
             std::set<std::string>(sent.begin(), sent.end()));
   std::set<std::string> failed;
-  for (const Fail& f : rig.got<Fail>()) failed.insert(f.id);
+  for (const Fail& f : rig.got<Fail>())
+    failed.insert(f.id);
   EXPECT_EQ((std::set<std::string>{"unsafe", "away"}), failed);
   ASSERT_EQ(1u,
             rig.got<Refuse>().size());  // repeats are dropped at all of its endpoints: harmless to hand in
@@ -105,7 +106,8 @@
     first.arrive("m" + std::to_string(i), "safe", 1);
     for (const Send& s : first.got<Send>()) {
       first.at(first.now + 10 * kMs).end(s.id, 0, Result::connect_failed);
-      for (const Ailment& a : first.got<Ailment>()) kept.push_back(a);
+      for (const Ailment& a : first.got<Ailment>())
+        kept.push_back(a);
     }
   }
   ASSERT_FALSE(kept.empty());
@@ -115,8 +117,10 @@
     Rig next;
     next.at(first.now + kS).list({makeEndpoint("e", 1, "shared", 10)});
     std::vector<Event> events;
-    if (told) events.push_back(kept.back());
-    for (int i = 0; i < 8; ++i) events.push_back(resumed(next, "r" + std::to_string(i), "safe", {}));
+    if (told)
+      events.push_back(kept.back());
+    for (int i = 0; i < 8; ++i)
+      events.push_back(resumed(next, "r" + std::to_string(i), "safe", {}));
     return next.run(events).size();
   };
   EXPECT_EQ(1u, sends(true));
@@ -153,7 +157,8 @@
   Rig rig(s);
   rig.at(100 * kS).list({makeEndpoint("e", 1)});
   std::vector<Event> events;
-  for (int i = 0; i < 20; ++i) events.push_back(resumed(rig, "m" + std::to_string(i), "safe", {}));
+  for (int i = 0; i < 20; ++i)
+    events.push_back(resumed(rig, "m" + std::to_string(i), "safe", {}));
   std::vector<std::string> sent = rig.run(events);
   std::set<std::string> tried;
   for (int turn = 0; turn < 100 && !sent.empty(); ++turn) {
@@ -162,9 +167,11 @@
     EXPECT_TRUE(rig.got<Fail>().empty());
     rig.arrive("new" + std::to_string(turn), "safe", 1);  // those that come meanwhile take no place of theirs
     sent = rig.at(rig.now + 50 * kMs).end(sent[0], 0, Result::ok);
-    for (int i = 0; i < 40 && sent.empty(); ++i) sent = rig.at(rig.now + 50 * kMs).wake();
+    for (int i = 0; i < 40 && sent.empty(); ++i)
+      sent = rig.at(rig.now + 50 * kMs).wake();
   }
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(1u, tried.count("m" + std::to_string(i))) << i;
+  for (int i = 0; i < 20; ++i)
+    EXPECT_EQ(1u, tried.count("m" + std::to_string(i))) << i;
 }
 
 // It goes before what has come to other destinations since, too: there a busy sender's slots would go.
@@ -174,8 +181,10 @@
   Rig rig(s);
   rig.at(100 * kS).list({makeEndpoint("e", 1), makeEndpoint("f", 2)});
   std::vector<Event> events;
-  for (int i = 0; i < 5; ++i) events.push_back(resumed(rig, "m" + std::to_string(i), "safe", {}));
-  for (int i = 0; i < 5; ++i) events.push_back(rig.arrival("new" + std::to_string(i), "unsafe", 2));
+  for (int i = 0; i < 5; ++i)
+    events.push_back(resumed(rig, "m" + std::to_string(i), "safe", {}));
+  for (int i = 0; i < 5; ++i)
+    events.push_back(rig.arrival("new" + std::to_string(i), "unsafe", 2));
   std::vector<std::string> sent = rig.run(events), order;
   for (int i = 0; i < 200 && order.size() < 10; ++i) {
     order.insert(order.end(), sent.begin(), sent.end());
@@ -200,7 +209,8 @@
     r.restarted = false;
     events.push_back(r);
   }
-  for (int i = 0; i < 5; ++i) events.push_back(rig.arrival("new" + std::to_string(i), "unsafe", 2));
+  for (int i = 0; i < 5; ++i)
+    events.push_back(rig.arrival("new" + std::to_string(i), "unsafe", 2));
   std::vector<std::string> sent = rig.run(events), order;
   for (int i = 0; i < 200 && order.size() < 4; ++i) {
     order.insert(order.end(), sent.begin(), sent.end());
--- a/tests/decision/tags_test.cpp
+++ b/tests/decision/tags_test.cpp
@@ -26,11 +26,13 @@
   Ids order = r.run(all);
   for (int t = 1; order.size() < 25 && t < 100; ++t) {
     const std::string last = order.back();
-    for (const auto& id : r.at(t * 10 * kMs).end(last, 0, Result::ok, 10 * kMs)) order.push_back(id);
+    for (const auto& id : r.at(t * 10 * kMs).end(last, 0, Result::ok, 10 * kMs))
+      order.push_back(id);
   }
   ASSERT_GE(order.size(), 25u);
   std::string who;
-  for (int i = 0; i < 25; ++i) who += order[static_cast<std::size_t>(i)].substr(0, 1);
+  for (int i = 0; i < 25; ++i)
+    who += order[static_cast<std::size_t>(i)].substr(0, 1);
   EXPECT_EQ(who.substr(0, 5), "ababa");
   for (std::size_t from = 0; from < 25; from += 5) {
     const std::string five = who.substr(from, 5);
@@ -71,14 +73,17 @@
   // the second and third go before those of 1, not the fourth.
   r.at(5 * kS);
   std::vector<Event> all;
-  for (int i = 0; i < 5; ++i) all.push_back(r.arrival("a" + std::to_string(i), "safe", 1));
-  for (int i = 0; i < 4; ++i) all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
+  for (int i = 0; i < 5; ++i)
+    all.push_back(r.arrival("a" + std::to_string(i), "safe", 1));
+  for (int i = 0; i < 4; ++i)
+    all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
   Ids order = r.run(all);
   for (int i = 0; order.size() < 6 && i < 20; ++i)
     for (const auto& id : r.at(5 * kS + (i + 1) * 20 * kMs).end(order.back(), 0, Result::ok, 20 * kMs))
       order.push_back(id);
   std::string who;
-  for (const auto& id : order) who += id[0];
+  for (const auto& id : order)
+    who += id[0];
   EXPECT_EQ(who.substr(0, 2), "ab");  // the due local tags
   EXPECT_EQ(who.substr(2, 2), "bb");  // the credit
   EXPECT_NE(who.substr(4, 2), "bb");
@@ -92,11 +97,14 @@
   Rig r(s);
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
   std::vector<Event> all;
-  for (int i = 0; i < 30; ++i) all.push_back(r.arrival("a" + std::to_string(i), "safe", 1));
+  for (int i = 0; i < 30; ++i)
+    all.push_back(r.arrival("a" + std::to_string(i), "safe", 1));
   Ids order = r.run(all);
-  for (int i = 1; i <= 10; ++i) order = r.at(i * 10 * kMs).end(order.at(0), 0, Result::ok, 10 * kMs);
+  for (int i = 1; i <= 10; ++i)
+    order = r.at(i * 10 * kMs).end(order.at(0), 0, Result::ok, 10 * kMs);
   all.clear();
-  for (int i = 0; i < 5; ++i) all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
+  for (int i = 0; i < 5; ++i)
+    all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
   EXPECT_TRUE(r.run(all).empty());
   std::string who;
   for (int i = 11; i <= 16; ++i) {
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -1,12 +1,13 @@
 // The server for clients on loopback sockets, the loop turned by the test: requests that wait unread while
 // something else happens to their connection.
+#include "network/client_server.h"
+
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
 #include <memory>
 #include <optional>
 
-#include "network/client_server.h"
 #include "network/listener.h"
 #include "protocol/resp.h"
 #include "support/loopback.h"
@@ -34,7 +35,8 @@
     return b;
   }
   void turnUntil(const std::function<bool()>& holds) {
-    while (!holds()) io.run_one();
+    while (!holds())
+      io.run_one();
   }
 
   boost::asio::io_context io;
@@ -73,7 +75,8 @@
   boost::asio::steady_timer just_before(s.io);
   just_before.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(deadline - 1)));
   just_before.async_wait([&](const boost::system::error_code&) { client.send(kPut); });
-  while (monotonicNow() < deadline + 5 * kMs) {}  // busy: the loop does not turn
+  while (monotonicNow() < deadline + 5 * kMs) {
+  }  // busy: the loop does not turn
   s.turnUntil([&] { return s.taken || s.clients->count() == 0; });
   EXPECT_TRUE(s.taken) << "closed with its request unread";
   s.turnUntil([&] { return s.rules.nextClientDeadline() > deadline + 30'000 * kMs; });
@@ -102,7 +105,8 @@
   s.io.poll();
   const Micros silent_from = monotonicNow();
   loopback::Client next(s.port);  // seen in the loop's next turn, before what the first sends now
-  while (monotonicNow() < silent_from + 50 * kMs) {}  // busy: the loop does not turn
+  while (monotonicNow() < silent_from + 50 * kMs) {
+  }  // busy: the loop does not turn
   first.send(kPut);
   s.turnUntil([&] { return s.taken || s.rules.underPressure(); });
   EXPECT_TRUE(s.taken) << "closed with its request unread";
@@ -116,7 +120,8 @@
   s.turnUntil([&] { return s.clients->count() == 2; });
   s.io.poll();
   const Micros silent_from = monotonicNow();
-  while (monotonicNow() < silent_from + 50 * kMs) {}  // busy: the loop does not turn
+  while (monotonicNow() < silent_from + 50 * kMs) {
+  }  // busy: the loop does not turn
   rests.send(kPut);
   s.rules.setBudget(Served::budgetFor(1));
   s.clients->budgetChanged();
--- a/tests/network/connections_test.cpp
+++ b/tests/network/connections_test.cpp
@@ -54,7 +54,9 @@
   const auto message = [](const ProcessLimits& l) {
     try {
       budgetOf(l, false);
-    } catch (const BadInput& e) { return std::string(e.what()); }
+    } catch (const BadInput& e) {
+      return std::string(e.what());
+    }
     return std::string();
   };
   EXPECT_EQ("", message({86, 32 * kMb, 30}));
@@ -161,13 +163,15 @@
   Connections c(small(6));
   const Id one = c.clientCame("few", 0);
   std::vector<Id> many;
-  for (int i = 0; i < 5; ++i) many.push_back(c.clientCame("many", kMs * (i + 1)));
+  for (int i = 0; i < 5; ++i)
+    many.push_back(c.clientCame("many", kMs * (i + 1)));
   EXPECT_FALSE(c.clientFits());
   EXPECT_FALSE(c.nextToGo(10 * kMs)) << "their first requests may be on the way";
   EXPECT_EQ(many[0], *c.nextToGo(kS)) << "not the one that came first of all";
   c.clientGone(many[0]);
   EXPECT_TRUE(c.clientFits());
-  for (int i = 1; i < 4; ++i) c.clientGone(many[static_cast<std::size_t>(i)]);
+  for (int i = 1; i < 4; ++i)
+    c.clientGone(many[static_cast<std::size_t>(i)]);
   EXPECT_EQ(one, *c.nextToGo(kS)) << "equal shares: the longest silent";
 }
 
@@ -212,7 +216,8 @@
 TEST(Shares, WhatClientsUseGoesLastUnlessOnePeerHasMostOfTheTable) {
   Connections c(small(8));
   std::vector<Id> client;
-  for (int i = 0; i < 3; ++i) client.push_back(useful(c, "client", 0));
+  for (int i = 0; i < 3; ++i)
+    client.push_back(useful(c, "client", 0));
   const Id a = c.clientCame("a", 5 * kS), b = c.clientCame("b", 5 * kS);
   c.clientCame("d", 10 * kS);
   EXPECT_EQ(a, c.nextToGo(10 * kS).value_or(0));
@@ -249,12 +254,15 @@
 // rest.
 TEST(Shares, ACrowdThatAsksOnceAndStaysKeepsNobodyWaiting) {
   Connections c(small(91));
-  for (int i = 0; i < 64; ++i) useful(c, "client" + std::to_string(i), 10 * kS - 4 * kMs * i);
+  for (int i = 0; i < 64; ++i)
+    useful(c, "client" + std::to_string(i), 10 * kS - 4 * kMs * i);
   Micros waited = 0, longest = 0;
   for (Micros now = 10 * kS; now < 12 * kS; now += 2500) {  // one comes in each such step
     while (!c.clientFits()) {
-      if (const auto goes = c.nextToGo(now + waited)) c.clientGone(*goes);
-      else waited += kMs;
+      if (const auto goes = c.nextToGo(now + waited))
+        c.clientGone(*goes);
+      else
+        waited += kMs;
     }
     longest = std::max(longest, waited);
     const Id id = c.clientCame("stranger" + std::to_string(now), now + waited);
@@ -385,12 +393,17 @@
       c_.setBudget(b);
       shrunk_ = true;
     }
-    for (int n = below(3); n > 0; --n) knock();
-    for (int n = below(8); n > 0 && !ids_.empty(); --n) act(any());
-    while (const auto id = c_.nextTurn()) open_.insert(*id);
-    while (const auto id = c_.nextReader()) send(*id);
+    for (int n = below(3); n > 0; --n)
+      knock();
+    for (int n = below(8); n > 0 && !ids_.empty(); --n)
+      act(any());
+    while (const auto id = c_.nextTurn())
+      open_.insert(*id);
+    while (const auto id = c_.nextReader())
+      send(*id);
     if (c_.readersWait())
-      if (const auto id = c_.nextToGoForBytes(now_)) drop(*id);
+      if (const auto id = c_.nextToGoForBytes(now_))
+        drop(*id);
     check();
   }
 
@@ -401,17 +414,20 @@
   void knock() {
     if (!c_.clientFits()) {
       const auto id = c_.nextToGo(now_);
-      if (!id) return;
+      if (!id)
+        return;
       ASSERT_NE(State::waiting, c_.state(*id)) << "an open request was evicted";
       std::map<std::string, int> held;
-      for (const Id i : ids_) ++held[peer_[i]];
+      for (const Id i : ids_)
+        ++held[peer_[i]];
       for (const Id i : ids_)  // a never useful one that has long been silent, of a peer that holds more
         if (held[peer_[i]] > held[peer_[*id]]) {
           ASSERT_FALSE(c_.state(i) == State::fresh && now_ - came_[i] > kS) << "not max-min fair";
         }
       drop(*id);
     }
-    if (!c_.clientFits()) return;
+    if (!c_.clientFits())
+      return;
     const std::string peer = std::string(1, static_cast<char>('a' + below(below(2) ? 2 : 8)));
     const Id id = c_.clientCame(peer, now_);
     peer_[id] = peer;
@@ -421,11 +437,13 @@
 
   void send(Id id) {
     const std::size_t most = c_.mayRead(id);
-    if (most == 0) return;
+    if (most == 0)
+      return;
     c_.received(id, 1 + static_cast<std::size_t>(below(static_cast<int>(std::min<std::size_t>(most, 16384)))),
                 now_);
     if (below(3) == 0) {
-      if (c_.whole(id, now_)) open_.insert(id);
+      if (c_.whole(id, now_))
+        open_.insert(id);
     } else {
       c_.partial(id, now_);
     }
@@ -436,11 +454,14 @@
       case State::fresh:
       case State::idle:
       case State::reading:
-        if (below(20) == 0) return c_.closing(id, now_);
-        if (below(3) > 0) send(id);
+        if (below(20) == 0)
+          return c_.closing(id, now_);
+        if (below(3) > 0)
+          send(id);
         break;
       case State::waiting:
-        if (!open_.count(id)) break;
+        if (!open_.count(id))
+          break;
         if (!answering_.count(id)) {
           c_.taken(id, 0);
           c_.answering(id, below(2) == 0, now_);
@@ -452,7 +473,8 @@
         }
         break;
       case State::closing:
-        if (below(2) == 0) drop(id);
+        if (below(2) == 0)
+          drop(id);
         break;
     }
   }
@@ -471,15 +493,18 @@
     const bool over = static_cast<std::int64_t>(c_.clients()) > b.clients || c_.openRequests() > b.requests ||
                       c_.buffered() > b.buffered;
     ASSERT_TRUE(!over || shrunk_) << "over the budget";
-    if (!over) shrunk_ = false;
+    if (!over)
+      shrunk_ = false;
     for (const Id id : ids_) {
-      if (c_.state(id) == State::waiting && !answering_.count(id)) continue;
+      if (c_.state(id) == State::waiting && !answering_.count(id))
+        continue;
       ASSERT_GT(c_.deadline(id), now_) << "past its deadline, and still there";
       ASSERT_LE(c_.deadline(id), now_ + 60 * kS);
     }
     while (c_.tooMany()) {
       const auto id = c_.nextToGo(now_);
-      if (!id) break;
+      if (!id)
+        break;
       drop(*id);
     }
   }
@@ -499,7 +524,8 @@
     Crowd crowd(seed);
     for (int i = 0; i < 3000; ++i) {
       crowd.step();
-      if (::testing::Test::HasFatalFailure()) return;
+      if (::testing::Test::HasFatalFailure())
+        return;
     }
   }
 }
--- a/tests/network/descriptor_limit_test.cpp
+++ b/tests/network/descriptor_limit_test.cpp
@@ -17,7 +17,8 @@
 
 std::vector<std::unique_ptr<Client>> crowd(int port, int size, const char* from = nullptr) {
   std::vector<std::unique_ptr<Client>> all;
-  for (int i = 0; i < size; ++i) all.push_back(std::make_unique<Client>(port, from));
+  for (int i = 0; i < size; ++i)
+    all.push_back(std::make_unique<Client>(port, from));
   return all;
 }
 
@@ -75,8 +76,10 @@
   std::atomic<bool> stop{false};
   std::thread sends([&] {
     std::string pings;
-    for (int i = 0; i < 1000; ++i) pings += Client::request({"PING"});
-    while (!stop && greedy.sendSome(pings)) {}
+    for (int i = 0; i < 1000; ++i)
+      pings += Client::request({"PING"});
+    while (!stop && greedy.sendSome(pings)) {
+    }
     stop = true;
   });
   EXPECT_TRUE(eventually([&] { return stop.load(); })) << "it is still being read from";
@@ -93,7 +96,8 @@
   const std::string piece(1'000'000, 'x');
   big.send("*1\r\n$60000000\r\n");
   for (int i = 0; i < 60; ++i)
-    if (!big.sendSome(piece)) break;
+    if (!big.sendSome(piece))
+      break;
   EXPECT_TRUE(big.closed());
   Client c(f.program.port());
   EXPECT_EQ("+OK", c.put("fine", "order", 7));
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -1,8 +1,9 @@
 // Calls over loopback sockets: each row of the protocol's table of outcomes, and the pool of connections.
+#include "network/endpoint_pool.h"
+
 #include <boost/asio/io_context.hpp>
 #include <optional>
 
-#include "network/endpoint_pool.h"
 #include "support/loopback.h"
 
 namespace delivery {
@@ -13,7 +14,9 @@
 using loopback::Seen;
 using loopback::Server;
 
-Deadline within(Micros span) { return Deadline::after(monotonicNow(), span); }
+Deadline within(Micros span) {
+  return Deadline::after(monotonicNow(), span);
+}
 
 struct Pool {
   explicit Pool(Micros conn_idle = 60'000'000, Micros dial = 5'000'000)
@@ -69,7 +72,8 @@
   connection.exchange(std::move(r), 3'000'000, until, [&](const HttpAnswer& a) { got = a; });
   const int fd = ::accept4(listener.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   char piece[4096];
-  while (::recv(fd, piece, sizeof piece, 0) <= 0) io.run_one_for(std::chrono::milliseconds(1));
+  while (::recv(fd, piece, sizeof piece, 0) <= 0)
+    io.run_one_for(std::chrono::milliseconds(1));
   io.poll();  // the read of the answer is under way
   boost::asio::steady_timer just_before(io);
   just_before.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(until.at() - 1)));
@@ -77,8 +81,10 @@
     const std::string bytes = answer("429 Too Many Requests", "Retry-After: 0.5\r\n", "later");
     EXPECT_EQ(static_cast<ssize_t>(bytes.size()), ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL));
   });
-  while (until.left(monotonicNow()) >= -1000) {}  // busy: the loop does not turn
-  while (!got) io.run_one_for(std::chrono::milliseconds(100));
+  while (until.left(monotonicNow()) >= -1000) {
+  }  // busy: the loop does not turn
+  while (!got)
+    io.run_one_for(std::chrono::milliseconds(100));
   EXPECT_EQ(Exchanged::answered, got->how);
   EXPECT_EQ(429, got->status);
   EXPECT_TRUE(got->whole);
@@ -98,8 +104,10 @@
   std::optional<HttpAnswer> got;
   const Micros connect_limit = 20'000, from = monotonicNow();
   connection.exchange(std::move(r), connect_limit, within(60'000'000), [&](const HttpAnswer& a) { got = a; });
-  while (monotonicNow() - from <= connect_limit + 1000) {}  // busy: the loop does not turn
-  while (!got) io.run_one_for(std::chrono::milliseconds(100));
+  while (monotonicNow() - from <= connect_limit + 1000) {
+  }  // busy: the loop does not turn
+  while (!got)
+    io.run_one_for(std::chrono::milliseconds(100));
   EXPECT_EQ(s.seen().empty(), got->how == Exchanged::not_written);
   EXPECT_EQ(200, got->status);
 }
@@ -118,7 +126,8 @@
     }
   }
   ~Stuck() {
-    for (const int fd : fillers) ::close(fd);
+    for (const int fd : fillers)
+      ::close(fd);
   }
   loopback::Listener listener;
   std::vector<int> fillers;
@@ -133,7 +142,8 @@
 
 std::string hints(int how_many) {
   std::string all;
-  while (how_many-- > 0) all += "HTTP/1.1 103 Early Hints\r\n\r\n";
+  while (how_many-- > 0)
+    all += "HTTP/1.1 103 Early Hints\r\n\r\n";
   return all;
 }
 
@@ -274,7 +284,8 @@
   p.endpoints.call(p.message("first"), 0, "e", within(60'000'000));
   const int fd = ::accept4(endpoint.fd, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
   char piece[4096];
-  while (::recv(fd, piece, sizeof piece, 0) <= 0) p.io.run_one_for(std::chrono::milliseconds(1));
+  while (::recv(fd, piece, sizeof piece, 0) <= 0)
+    p.io.run_one_for(std::chrono::milliseconds(1));
   const std::string fine = answer("200 OK");
   EXPECT_EQ(static_cast<ssize_t>(fine.size()), ::send(fd, fine.data(), fine.size(), MSG_NOSIGNAL));
   EXPECT_EQ(Result::ok, p.waitFor(1).result);
@@ -290,7 +301,8 @@
     p.io.run_one_for(std::chrono::milliseconds(1));
   }
   ASSERT_GE(next, 0) << "the call ended as " << static_cast<int>(p.outcomes.back().result);
-  while (::recv(next, piece, sizeof piece, 0) <= 0) p.io.run_one_for(std::chrono::milliseconds(1));
+  while (::recv(next, piece, sizeof piece, 0) <= 0)
+    p.io.run_one_for(std::chrono::milliseconds(1));
   EXPECT_EQ(static_cast<ssize_t>(fine.size()), ::send(next, fine.data(), fine.size(), MSG_NOSIGNAL));
   EXPECT_EQ(Result::ok, p.waitFor(2).result);
   ::close(next);
@@ -341,7 +353,8 @@
   EXPECT_EQ(8u, p.endpoints.out());
   EXPECT_EQ(2, p.connections.callConnections());
   p.waitFor(8);
-  for (const Outcome& o : p.outcomes) EXPECT_EQ(Result::connect_failed, o.result);
+  for (const Outcome& o : p.outcomes)
+    EXPECT_EQ(Result::connect_failed, o.result);
   EXPECT_EQ(0, p.connections.callConnections());
 }
 
@@ -354,10 +367,12 @@
     p.endpoints.call(p.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
   p.waitFor(8);
   std::set<std::string> ids;
-  for (const Seen& seen : s.seen()) ids.insert(seen.field("X-Txn"));
+  for (const Seen& seen : s.seen())
+    ids.insert(seen.field("X-Txn"));
   EXPECT_EQ(8u, ids.size());
   EXPECT_EQ(8u, s.seen().size());
-  for (const Outcome& o : p.outcomes) EXPECT_EQ(Result::ok, o.result);
+  for (const Outcome& o : p.outcomes)
+    EXPECT_EQ(Result::ok, o.result);
   EXPECT_EQ(static_cast<std::int64_t>(p.endpoints.idle()), p.connections.callConnections());
 }
 
@@ -372,8 +387,10 @@
     p.endpoints.address("told", s.address());
     for (int i = 0; i < 3; ++i)  // two are opened, one waits
       p.endpoints.call(p.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
-    if (drain) p.endpoints.drained("e");
-    else p.endpoints.call(p.message("told"), 0, "told", within(60'000'000));
+    if (drain)
+      p.endpoints.drained("e");
+    else
+      p.endpoints.call(p.message("told"), 0, "told", within(60'000'000));
     p.waitFor(drain ? 3 : 4);
     for (const Outcome& o : p.outcomes)
       EXPECT_EQ(o.id == "told" ? Result::full : Result::not_sent, o.result) << o.id;
@@ -396,11 +413,13 @@
     p.endpoints.call(p.message("told"), 0, "told", within(60'000'000));
     p.waitFor(2);
     std::map<std::string, Outcome> by;
-    for (const Outcome& o : p.outcomes) by[o.id] = o;
+    for (const Outcome& o : p.outcomes)
+      by[o.id] = o;
     EXPECT_EQ(Result::not_sent, by["m"].result);
     EXPECT_TRUE(by["told"].still_out);
     EXPECT_EQ(9'000'000, by["told"].wait);
-    if (!cut) p.endpoints.cancel("told", 0);
+    if (!cut)
+      p.endpoints.cancel("told", 0);
     const Outcome end = p.waitFor(p.outcomes.size() + 1);
     EXPECT_FALSE(end.still_out);
     EXPECT_EQ(Result::error, end.result);  // what can't be read may have run
@@ -413,7 +432,8 @@
   Pool p;
   p.endpoints.address("e", s.address());
   p.endpoints.call(p.message("m"), 0, "e", within(60'000'000));
-  while (s.seen().empty()) p.io.run_one_for(std::chrono::milliseconds(1));
+  while (s.seen().empty())
+    p.io.run_one_for(std::chrono::milliseconds(1));
   std::this_thread::sleep_for(std::chrono::milliseconds(100));  // time for the answer to arrive: unread
   p.endpoints.cancel("m", 0);
   const Outcome o = p.waitFor(1);
@@ -471,7 +491,8 @@
   p.endpoints.call(m, 0, "e", within(60'000'000));
   const int fd = ::accept4(unread.fd, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
   char piece;
-  while (::recv(fd, &piece, 1, MSG_PEEK) <= 0) p.io.run_one_for(std::chrono::milliseconds(1));
+  while (::recv(fd, &piece, 1, MSG_PEEK) <= 0)
+    p.io.run_one_for(std::chrono::milliseconds(1));
   p.endpoints.drained("e");
   EXPECT_EQ(Result::not_sent, p.waitFor(1).result);
   EXPECT_EQ(0, p.connections.callConnections());
--- a/tests/process/control_test.cpp
+++ b/tests/process/control_test.cpp
@@ -46,7 +46,8 @@
 TEST(ControlAddress, AnswersBesideCallersThatStallAndACrowdOfClients) {
   Fleet f(deliver);
   std::vector<std::unique_ptr<Client>> crowd;
-  for (int i = 0; i < 1100; ++i) crowd.push_back(std::make_unique<Client>(f.program.port()));
+  for (int i = 0; i < 1100; ++i)
+    crowd.push_back(std::make_unique<Client>(f.program.port()));
   for (int i = 0; i < 40; ++i) {
     crowd.push_back(std::make_unique<Client>(f.program.controlPort()));
     crowd.back()->send("REA");
@@ -79,7 +80,8 @@
   full = false;
   EXPECT_TRUE(eventually([&] {
     std::set<std::string> ids;
-    for (const Seen& s : f.endpoint.seen()) ids.insert(s.field("X-Txn"));
+    for (const Seen& s : f.endpoint.seen())
+      ids.insert(s.field("X-Txn"));
     return ids == std::set<std::string>{"held", "cut"};
   }));
   EXPECT_EQ(0u, f.program.operate("UNDRAIN").find("OK"));
--- a/tests/process/sender_test.cpp
+++ b/tests/process/sender_test.cpp
@@ -39,7 +39,8 @@
   };
   ASSERT_EQ("+OK", put("first", "beyond"));
   ASSERT_TRUE(endpoint.waitFor(1));  // it holds the slot, and may have run when the process is killed
-  for (const char* id : {"b1", "b2", "b3"}) ASSERT_EQ("+OK", put(id, "beyond"));
+  for (const char* id : {"b1", "b2", "b3"})
+    ASSERT_EQ("+OK", put(id, "beyond"));
   ASSERT_EQ("+OK", put("mine", "inside"));
   program.kill();
   silent = false;
@@ -120,7 +121,8 @@
   Client silent(f.program.port());
   ASSERT_TRUE(silent.closed());  // by now the client has rested as long as that one was waited for
   std::vector<std::unique_ptr<Client>> crowd;
-  for (int i = 0; i < 2000; ++i) crowd.push_back(std::make_unique<Client>(f.program.port()));
+  for (int i = 0; i < 2000; ++i)
+    crowd.push_back(std::make_unique<Client>(f.program.port()));
   Client behind(f.program.port());
   EXPECT_EQ("+OK", behind.put("second", "order", 7));
   EXPECT_EQ("+OK", resting.put("third", "order", 7));
@@ -157,7 +159,8 @@
   ASSERT_TRUE(f.agent.waitForNotice("unsafe"));
   EXPECT_EQ("given_up", f.agent.notice("unsafe")["outcome"]);
   std::map<std::string, int> sends;
-  for (const Seen& s : f.endpoint.seen()) ++sends[s.field("X-Txn")];
+  for (const Seen& s : f.endpoint.seen())
+    ++sends[s.field("X-Txn")];
   EXPECT_EQ(2, sends["safe"]);
   EXPECT_EQ(2, sends["keyed"]);
   EXPECT_EQ(1, sends["unsafe"]);
@@ -284,7 +287,8 @@
   Server other(deliver);
   json settings = plainSettings();
   settings["Ceilings"]["DialTimeoutMs"] = 100000.0;
-  for (json& c : settings["Categories"]) c["AimMs"] = c["DeadlineMs"];  // a first call may take all its time
+  for (json& c : settings["Categories"])
+    c["AimMs"] = c["DeadlineMs"];  // a first call may take all its time
   settings["Ceilings"]["ParallelTries"] = false;
   Program program(folder.path(), agent.address(), json::array({listed("e1", stuck.address(), 7)}), 3,
                   settings);
@@ -315,7 +319,8 @@
   EXPECT_TRUE(endpoint.waitFor(2));
   EXPECT_TRUE(eventually([&] {
     for (const Seen& s : endpoint.seen())
-      if (s.field("X-Txn") == "untried") return true;
+      if (s.field("X-Txn") == "untried")
+        return true;
     return false;
   }));
   EXPECT_LT(std::chrono::steady_clock::now() - told, 20s);  // before the wait would have been over
@@ -330,7 +335,8 @@
   ASSERT_TRUE(f.agent.waitForWatch(2));
   for (int life = 0; life < 2; ++life) {
     Client c(f.program.port());
-    for (int i = 0; i < 5; ++i) ASSERT_EQ("+OK", c.put("m" + std::to_string(10 * life + i), "notice", 7));
+    for (int i = 0; i < 5; ++i)
+      ASSERT_EQ("+OK", c.put("m" + std::to_string(10 * life + i), "notice", 7));
     ASSERT_TRUE(other.waitFor(static_cast<std::size_t>(5 * (life + 1))));
     EXPECT_EQ(0u, f.endpoint.seen().size());
     f.program.kill();
@@ -356,7 +362,8 @@
   ASSERT_TRUE(endpoint.waitFor(1));
   ASSERT_TRUE(turning_away.waitFor(6));
   std::lock_guard<std::mutex> l(mutex);
-  for (std::size_t i = 1; i < 5; ++i) EXPECT_GE(asked[i] - asked[i - 1], 50ms * (1 << (i - 1))) << i;
+  for (std::size_t i = 1; i < 5; ++i)
+    EXPECT_GE(asked[i] - asked[i - 1], 50ms * (1 << (i - 1))) << i;
 }
 
 // SIGHUP: list and notices come from and go to the address that the file names now; a file that can't be read
@@ -389,11 +396,13 @@
     std::mutex mutex;
     std::set<std::string> may_have_run, delivered;
     Server told([&](const Seen& s) {
-      if (down) return Act{answer("429 Full", "Retry-After: 20\r\n")};
+      if (down)
+        return Act{answer("429 Full", "Retry-After: 20\r\n")};
       std::lock_guard<std::mutex> l(mutex);
       const std::string id = s.field("X-Txn");
       const bool first = delivered.insert(id).second;
-      if (id != "told0" && id.rfind("told", 0) == 0) EXPECT_TRUE(first) << id;  // payments
+      if (id != "told0" && id.rfind("told", 0) == 0)
+        EXPECT_TRUE(first) << id;  // payments
       return Act{answer("200 OK")};
     });
     Server away([&](const Seen& s) {
@@ -427,15 +436,19 @@
     {
       Client c(program.port());
       const auto put = [&](const std::string& id, const char* cls, int dest) {
-        if (c.put(id, cls, dest) == "+OK") taken.push_back(id);
+        if (c.put(id, cls, dest) == "+OK")
+          taken.push_back(id);
       };
       put("told0", "notice", 7);
       ASSERT_TRUE(told.waitFor(1));
       put("away0", "payment", 8);
       ASSERT_TRUE(away.waitFor(1));
-      for (int i = 1; i < 6; ++i) put("told" + std::to_string(i), "payment", 7);
-      for (int i = 1; i < 6; ++i) put("away" + std::to_string(i), "payment", 8);
-      for (int i = 0; i < 3; ++i) put("late" + std::to_string(i), "order", 9);
+      for (int i = 1; i < 6; ++i)
+        put("told" + std::to_string(i), "payment", 7);
+      for (int i = 1; i < 6; ++i)
+        put("away" + std::to_string(i), "payment", 8);
+      for (int i = 0; i < 3; ++i)
+        put("late" + std::to_string(i), "order", 9);
     }
     ASSERT_GE(taken.size(), 12u);
     program.signal(how);
@@ -444,19 +457,23 @@
     agent.tell(json::array({listed("late", late.address(), 9)}));
     program.start();
     Client c(program.port());
-    for (int i = 0; i < 20; ++i) c.put("new" + std::to_string(i), "notice", 7);  // a full table again
+    for (int i = 0; i < 20; ++i)
+      c.put("new" + std::to_string(i), "notice", 7);  // a full table again
     for (const std::string& id : taken)
       EXPECT_TRUE(eventually([&] {
         {
           std::lock_guard<std::mutex> l(mutex);
-          if (delivered.count(id) > 0) return true;
-          if (may_have_run.count(id) == 0) return false;
+          if (delivered.count(id) > 0)
+            return true;
+          if (may_have_run.count(id) == 0)
+            return false;
         }
         return !agent.notice(id).is_null();
       })) << id
           << " after signal " << how;
     std::lock_guard<std::mutex> l(mutex);
-    for (const std::string& id : taken) EXPECT_EQ(1u, delivered.count(id) + may_have_run.count(id)) << id;
+    for (const std::string& id : taken)
+      EXPECT_EQ(1u, delivered.count(id) + may_have_run.count(id)) << id;
   }
 }
 
@@ -467,7 +484,8 @@
   explicit ScriptedDiscovery(std::vector<Act> answers)
       : answers_(std::move(answers)), server_([this](const Seen& s) {
           const std::size_t call = calls_++;
-          if (s.head.rfind("POST", 0) == 0) return Act{"HTTP/1.1 204 No Content\r\n\r\n"};
+          if (s.head.rfind("POST", 0) == 0)
+            return Act{"HTTP/1.1 204 No Content\r\n\r\n"};
           std::lock_guard<std::mutex> l(mutex_);
           asked_.push_back(std::chrono::steady_clock::now());
           return call < answers_.size() ? answers_[call] : Act{};
@@ -478,7 +496,8 @@
   std::vector<std::chrono::steady_clock::duration> gaps() {
     std::lock_guard<std::mutex> l(mutex_);
     std::vector<std::chrono::steady_clock::duration> all;
-    for (std::size_t i = 1; i < asked_.size(); ++i) all.push_back(asked_[i] - asked_[i - 1]);
+    for (std::size_t i = 1; i < asked_.size(); ++i)
+      all.push_back(asked_[i] - asked_[i - 1]);
     return all;
   }
 
@@ -497,7 +516,9 @@
               {"endpoints", {listed("e1", from.address(), 7, "Terminating"), listed("e2", to.address(), 7)}}}
       .dump(2);
 }
-Act halfOf(const Act& whole) { return {whole.bytes.substr(0, whole.bytes.size() - 40)}; }
+Act halfOf(const Act& whole) {
+  return {whole.bytes.substr(0, whole.bytes.size() - 40)};
+}
 
 // A watch that falls silent, at once or in the middle of its answer, is broken: it is opened anew on another
 // connection, and what it missed is heeded from then on. Both at once, as each takes the time of a watch.
@@ -597,8 +618,10 @@
   int taken = 0, refused = 0;
   for (int i = 0; i < 40; ++i) {
     const std::string reply = c.put("m" + std::to_string(i), "notice", 7, std::string(8000, 'x'));
-    if (reply == "+OK") ++taken;
-    else if (reply.rfind("-BUSY", 0) == 0) ++refused;
+    if (reply == "+OK")
+      ++taken;
+    else if (reply.rfind("-BUSY", 0) == 0)
+      ++refused;
   }
   EXPECT_EQ(40, taken + refused);
   EXPECT_GT(taken, 3);
@@ -634,12 +657,16 @@
       const std::string id = "m" + std::to_string(i);
       {
         std::lock_guard<std::mutex> l(mutex);
-        if (stop) return;
-        if (c.connected()) ++asked;
+        if (stop)
+          return;
+        if (c.connected())
+          ++asked;
       }
       more.notify_all();
-      if (!c.connected()) continue;
-      if (c.put(id, "payment", 7) == "+OK") taken.push_back(id);
+      if (!c.connected())
+        continue;
+      if (c.put(id, "payment", 7) == "+OK")
+        taken.push_back(id);
       std::this_thread::sleep_for(5ms);
     }
   });
@@ -660,8 +687,10 @@
   f.program.start();
   ASSERT_TRUE(f.endpoint.waitFor(taken.size()));
   std::map<std::string, int> sends;
-  for (const Seen& s : f.endpoint.seen()) ++sends[s.field("X-Txn")];
-  for (const std::string& id : taken) EXPECT_EQ(1, sends[id]) << id;
+  for (const Seen& s : f.endpoint.seen())
+    ++sends[s.field("X-Txn")];
+  for (const std::string& id : taken)
+    EXPECT_EQ(1, sends[id]) << id;
   EXPECT_EQ(0u, f.agent.noticeCount()) << f.agent.allNotices();
 }
 
--- a/tests/process/upgrade_test.cpp
+++ b/tests/process/upgrade_test.cpp
@@ -36,7 +36,8 @@
   }
   std::map<std::string, int> sends() {
     std::map<std::string, int> n;
-    for (const Seen& s : endpoint.seen()) ++n[s.field("X-Txn")];
+    for (const Seen& s : endpoint.seen())
+      ++n[s.field("X-Txn")];
     return n;
   }
 
@@ -75,16 +76,19 @@
       std::unique_ptr<Client> c;
       for (int i = 0; !stop; ++i) {
         const std::string id = (kept ? "k" : "n") + std::to_string(i);
-        if (!kept || !c) c = std::make_unique<Client>(u.passed.port);
+        if (!kept || !c)
+          c = std::make_unique<Client>(u.passed.port);
         std::string reply = c->put(id, "payment", 7);
         if (reply.empty() && kept) {  // closed between requests
           c = std::make_unique<Client>(u.passed.port);
           reply = c->put(id, "payment", 7);
         }
         ++asked;
-        if (reply.empty()) ++unanswered;
+        if (reply.empty())
+          ++unanswered;
         std::lock_guard<std::mutex> l(mutex);
-        if (reply == "+OK") taken.push_back(id);
+        if (reply == "+OK")
+          taken.push_back(id);
         std::this_thread::sleep_for(10ms);
       }
     });
@@ -101,11 +105,13 @@
     ASSERT_TRUE(more());
   }
   stop = true;
-  for (auto& t : traffic) t.join();
+  for (auto& t : traffic)
+    t.join();
   EXPECT_EQ(0, unanswered);
   ASSERT_TRUE(u.endpoint.waitFor(taken.size()));
   const auto sends = u.sends();
-  for (const std::string& id : taken) EXPECT_EQ(1, sends.at(id)) << id;
+  for (const std::string& id : taken)
+    EXPECT_EQ(1, sends.at(id)) << id;
   EXPECT_EQ(0u, u.agent.noticeCount()) << u.agent.allNotices();
 }
 
@@ -178,7 +184,8 @@
       told = now();
       return Act{answer("429 Full", "Retry-After: 2.5\r\n")};
     }
-    if (next_call == 0) next_call = now();
+    if (next_call == 0)
+      next_call = now();
     return Act{answer("200 OK")};
   };
   auto old = u.start();
@@ -297,10 +304,12 @@
     ASSERT_GE(fd, 0);
     (void)!::send(fd, says.data(), says.size(), MSG_NOSIGNAL);
     EXPECT_TRUE(eventually([&] { return old->operate("READY") != "OK ready"; }));
-    if (!says.empty()) ::close(fd);  // the silent one stays
+    if (!says.empty())
+      ::close(fd);  // the silent one stays
     EXPECT_TRUE(eventually([&] { return old->operate("READY") == "OK ready"; }));
     ASSERT_EQ("+OK", Client(u.passed.port).put("m" + std::to_string(says.size()), "notice", 7));
-    if (says.empty()) ::close(fd);
+    if (says.empty())
+      ::close(fd);
   }
 }
 
@@ -348,7 +357,8 @@
   ::waitpid(child, nullptr, 0);
   EXPECT_EQ(0, lock.holder());
   EXPECT_TRUE(lock.take());
-  for (int fd : {ready[0], ready[1], go[0], go[1]}) ::close(fd);
+  for (int fd : {ready[0], ready[1], go[0], go[1]})
+    ::close(fd);
 }
 
 }  // namespace
--- a/tests/programs/simulator_adapter_test.cpp
+++ b/tests/programs/simulator_adapter_test.cpp
@@ -37,7 +37,8 @@
   r.status = WEXITSTATUS(raw);
   r.out = slurp(base + ".out");
   r.err = slurp(base + ".err");
-  for (const char* end : {".in", ".out", ".err"}) std::remove((base + end).c_str());
+  for (const char* end : {".in", ".out", ".err"})
+    std::remove((base + end).c_str());
   return r;
 }
 
@@ -68,7 +69,9 @@
                {"Share", 1},
                {"BootTimeMs", nullptr}}}}}}};
 }
-json members(int kind = 2) { return {{"Members", {{"Who", 0}, {"Kind", kind}, {"Epoch", 1}, {"Sheet", 0}}}}; }
+json members(int kind = 2) {
+  return {{"Members", {{"Who", 0}, {"Kind", kind}, {"Epoch", 1}, {"Sheet", 0}}}};
+}
 json call(const std::string& id) {
   return {{"Call",
            {{"Who", 0},
@@ -142,8 +145,8 @@
 }
 
 TEST(SimulatorAdapter, AnExceptionInTheModuleIsAFaultWithItsTextAndTheHostGoesOn) {
-  const Ran r =
-      host(batch(1000, {attach(), roster(), members()}) + batch(1001, json::array()), SIMULATOR_ADAPTER_THROWING);
+  const Ran r = host(batch(1000, {attach(), roster(), members()}) + batch(1001, json::array()),
+                     SIMULATOR_ADAPTER_THROWING);
   EXPECT_EQ(r.status, 0) << r.err;
   EXPECT_EQ(r.out,
             "{\"cmds\":[{\"Fatal\":{\"Who\":0,\"Words\":\"tag without a message\"}}]}\n{\"cmds\":[]}\n");
--- a/tests/protocol/resp_test.cpp
+++ b/tests/protocol/resp_test.cpp
@@ -1,8 +1,8 @@
 // The parser of RESP2 requests: pieces of any size, bounds, and what is malformed.
-#include <gtest/gtest.h>
-
 #include "protocol/resp.h"
 
+#include <gtest/gtest.h>
+
 namespace delivery {
 namespace {
 
--- a/tests/protocol/settings_reader_test.cpp
+++ b/tests/protocol/settings_reader_test.cpp
@@ -1,8 +1,8 @@
 // Settings that cannot be.
-#include <algorithm>
-
 #include "protocol/settings_reader.h"
 
+#include <algorithm>
+
 #include "support/scheduler_fixture.h"
 
 using namespace delivery;
--- a/tests/storage/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -1,11 +1,12 @@
 // The journal on files alone: what a killed process leaves, torn and damaged records, a full budget.
+#include "storage/journal.h"
+
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
 #include <filesystem>
 #include <fstream>
 
-#include "storage/journal.h"
 #include "support/loopback.h"
 
 namespace delivery {
@@ -137,7 +138,8 @@
 
 std::uint64_t onDisk(const std::string& folder) {
   std::uint64_t sum = 0;
-  for (const auto& f : std::filesystem::directory_iterator(folder)) sum += (f.file_size() + 511) / 512 * 512;
+  for (const auto& f : std::filesystem::directory_iterator(folder))
+    sum += (f.file_size() + 511) / 512 * 512;
   return sum;
 }
 
@@ -159,7 +161,8 @@
       ++taken;
       j.accepted(m);
       open.push_back(m.id);
-      for (int a = 0; a < 12; ++a) j.attempted(m.id, {"s-5be2a07c", i, false});
+      for (int a = 0; a < 12; ++a)
+        j.attempted(m.id, {"s-5be2a07c", i, false});
     }
     ASSERT_TRUE(j.flush()) << i;
     ASSERT_LE(onDisk(t.path()), budget);
--- a/tests/storage/recovery_test.cpp
+++ b/tests/storage/recovery_test.cpp
@@ -54,9 +54,12 @@
   bool dead() const { return dead_; }
 
   void powerCut() {
-    for (auto& [name, node] : std::map<std::string, std::shared_ptr<Node>>(names_)) cut(*node);
-    for (auto& [name, node] : synced_names_) cut(*node);
-    if (below(2) == 0) names_ = synced_names_;  // no rename since is on the disk
+    for (auto& [name, node] : std::map<std::string, std::shared_ptr<Node>>(names_))
+      cut(*node);
+    for (auto& [name, node] : synced_names_)
+      cut(*node);
+    if (below(2) == 0)
+      names_ = synced_names_;  // no rename since is on the disk
     synced_names_ = names_;
     revive();
   }
@@ -71,30 +74,36 @@
   }
   void set(const std::string& name, const std::string& data) {
     auto& node = names_[name];
-    if (!node) node = std::make_shared<Node>();
+    if (!node)
+      node = std::make_shared<Node>();
     node->now = node->synced = data;
     node->since.clear();
     synced_names_ = names_;
   }
   std::uint64_t onDisk() const {
     std::uint64_t sum = 0;
-    for (const auto& [name, node] : names_) sum += (node->now.size() + 511) / 512 * 512;
+    for (const auto& [name, node] : names_)
+      sum += (node->now.size() + 511) / 512 * 512;
     return sum;
   }
 
   int open(const std::string& path, int flags) override {
-    if (!call()) return -1;
+    if (!call())
+      return -1;
     auto it = names_.find(path);
     if (it == names_.end()) {
-      if (!(flags & O_CREAT)) return errno = ENOENT, -1;
+      if (!(flags & O_CREAT))
+        return errno = ENOENT, -1;
       it = names_.emplace(path, std::make_shared<Node>()).first;
     }
-    if (flags & O_TRUNC) it->second->resize(0);
+    if (flags & O_TRUNC)
+      it->second->resize(0);
     open_[++next_] = {it->second, 0};
     return next_;
   }
   ssize_t read(int fd, char* to, std::size_t size) override {
-    if (!call()) return -1;
+    if (!call())
+      return -1;
     auto& [node, at] = open_.at(fd);
     const std::size_t n = std::min(size, node->now.size() - at);
     std::memcpy(to, node->now.data() + at, n);
@@ -103,30 +112,40 @@
   }
   ssize_t write(int fd, const char* from, std::size_t size) override {
     const bool alive = call();
-    if (!alive && !dying_) return -1;
+    if (!alive && !dying_)
+      return -1;
     std::size_t n = size;
-    if (!alive || (short_writes && size > 1)) n = static_cast<std::size_t>(below(static_cast<int>(size)));
-    if (alive && n == 0) n = 1;
+    if (!alive || (short_writes && size > 1))
+      n = static_cast<std::size_t>(below(static_cast<int>(size)));
+    if (alive && n == 0)
+      n = 1;
     const std::size_t used = total();
-    if (used + n > most) n = most > used ? most - used : 0;
+    if (used + n > most)
+      n = most > used ? most - used : 0;
     dying_ = false;
-    if (n > 0) open_.at(fd).first->append(std::string(from, n));
+    if (n > 0)
+      open_.at(fd).first->append(std::string(from, n));
     written += n;
-    if (!alive) return -1;
-    if (n == 0) return errno = ENOSPC, -1;
+    if (!alive)
+      return -1;
+    if (n == 0)
+      return errno = ENOSPC, -1;
     return static_cast<ssize_t>(n);
   }
   int truncate(int fd, off_t size) override {
-    if (!call()) return -1;
+    if (!call())
+      return -1;
     open_.at(fd).first->resize(static_cast<std::size_t>(size));
     return 0;
   }
   off_t size(int fd) override {
-    if (!call()) return -1;
+    if (!call())
+      return -1;
     return static_cast<off_t>(open_.at(fd).first->now.size());
   }
   int sync(int fd) override {
-    if (!call()) return -1;
+    if (!call())
+      return -1;
     ++syncs;
     Node& n = *open_.at(fd).first;
     n.synced = n.now;
@@ -134,19 +153,22 @@
     return 0;
   }
   int syncFolder(const std::string&) override {
-    if (!call()) return -1;
+    if (!call())
+      return -1;
     ++syncs;
     synced_names_ = names_;
     return 0;
   }
   int rename(const std::string& from, const std::string& to) override {
-    if (!call()) return -1;
+    if (!call())
+      return -1;
     names_[to] = names_.at(from);
     names_.erase(from);
     return 0;
   }
   int unlink(const std::string& path) override {
-    if (!call()) return -1;
+    if (!call())
+      return -1;
     return names_.erase(path) ? 0 : -1;
   }
   void close(int fd) override { open_.erase(fd); }
@@ -163,29 +185,35 @@
       now.resize(size);
       std::vector<std::pair<std::size_t, std::string>> kept;
       for (auto& [at, s] : since)
-        if (at < size) kept.emplace_back(at, s.substr(0, size - at));
+        if (at < size)
+          kept.emplace_back(at, s.substr(0, size - at));
       since = kept;
-      if (synced.size() > size) synced.resize(size);
+      if (synced.size() > size)
+        synced.resize(size);
     }
   };
 
   bool call() {
     dying_ = false;
-    if (dead_) return errno = EIO, false;
+    if (dead_)
+      return errno = EIO, false;
     ++calls;
     if (kill_at > 0 && calls >= kill_at) {
       dead_ = dying_ = true;
       return errno = EIO, false;
     }
-    if (fail != 0 && calls >= fail_from && calls < fail_from + fail_count) return errno = fail, false;
+    if (fail != 0 && calls >= fail_from && calls < fail_from + fail_count)
+      return errno = fail, false;
     return true;
   }
   // Any of what was not synced is lost, in any order; what was not written reads as zeros.
   void cut(Node& n) {
     std::string kept = n.synced;
     for (const auto& [at, s] : n.since) {
-      if (below(3) == 0) continue;
-      if (kept.size() < at + s.size()) kept.resize(at + s.size(), '\0');
+      if (below(3) == 0)
+        continue;
+      if (kept.size() < at + s.size())
+        kept.resize(at + s.size(), '\0');
       kept.replace(at, s.size(), s);
     }
     n.now = n.synced = kept;
@@ -193,7 +221,8 @@
   }
   std::size_t total() const {
     std::size_t sum = 0;
-    for (const auto& [name, node] : names_) sum += node->now.size();
+    for (const auto& [name, node] : names_)
+      sum += node->now.size();
     return sum;
   }
   int below(int n) { return static_cast<int>(rnd_() % static_cast<unsigned>(std::max(1, n))); }
@@ -215,8 +244,10 @@
     Journal j("d", {3'000'000, durable}, now, disk);
     j.listed("{\"index\":4}");
     j.ailing({"", 7, true, 99, 123});
-    for (const char* id : {"run", "never", "new", "owed", "over"}) j.accepted(message(id));
-    for (const char* id : {"run", "never", "over"}) j.attempted(id, {"e1", now.monotonic, false});
+    for (const char* id : {"run", "never", "new", "owed", "over"})
+      j.accepted(message(id));
+    for (const char* id : {"run", "never", "over"})
+      j.attempted(id, {"e1", now.monotonic, false});
     j.neverRan("never", 0);
     j.noticeOwed("owed", {true, 250});
     j.over("over");
@@ -227,7 +258,8 @@
 
 std::size_t mayHaveRun(const Journal::Entry& e) {
   std::size_t n = 0;
-  for (const JournaledAttempt& a : e.attempts) n += !a.never_ran;
+  for (const JournaledAttempt& a : e.attempts)
+    n += !a.never_ran;
   return n;
 }
 
@@ -245,7 +277,8 @@
   Found f;
   f.damaged = j.recovered().damaged;
   f.line = j.recovered().found;
-  for (const auto& e : j.recovered().entries) f.entries[e.message.id] = e;
+  for (const auto& e : j.recovered().entries)
+    f.entries[e.message.id] = e;
   return f;
 }
 Found reopen(const std::string& data, const Clocks& now = kNow) {
@@ -309,7 +342,8 @@
       repeated.insert(b, whole.substr(a, 512));
       for (const std::string& data : {swapped, repeated}) {
         const Found f = reopen(data);
-        for (const auto& [id, e] : f.entries) ASSERT_GT(mayHaveRun(e), 0u) << id << ' ' << a << ' ' << b;
+        for (const auto& [id, e] : f.entries)
+          ASSERT_GT(mayHaveRun(e), 0u) << id << ' ' << a << ' ' << b;
         EXPECT_GE(f.entries.size(), 30u);
       }
     }
@@ -387,7 +421,8 @@
 TEST(Recovery, TheVersionBeforeIsRead) {
   const auto word = [](std::uint32_t w) {
     std::string s;
-    for (int i = 0; i < 4; ++i) s.push_back(static_cast<char>(w >> (8 * i) & 0xff));
+    for (int i = 0; i < 4; ++i)
+      s.push_back(static_cast<char>(w >> (8 * i) & 0xff));
     return s;
   };
   const auto number = [](std::int64_t v) {
@@ -474,7 +509,8 @@
     Disk disk;
     Journal j("d", {3'000'000, durable}, kNow, disk);
     const int before = disk.syncs;
-    for (const char* id : {"a", "b", "c"}) j.accepted(message(id));
+    for (const char* id : {"a", "b", "c"})
+      j.accepted(message(id));
     j.attempted("a", {"e1", kNow.monotonic, false});
     ASSERT_TRUE(j.flush());
     EXPECT_EQ(before + (durable ? 1 : 0), disk.syncs);
@@ -502,15 +538,18 @@
           Journal j("d", {200'000, from % 3 == 0}, kNow, disk);
           for (int i = 0; i < 60; ++i) {
             const std::string id = "m" + std::to_string(i);
-            if (!j.reserve(message(id, 3000))) continue;
+            if (!j.reserve(message(id, 3000)))
+              continue;
             j.accepted(message(id, 3000));
-            if (j.flush()) promised.insert(id);
+            if (j.flush())
+              promised.insert(id);
             else {
               j.over(id);
               continue;
             }
             j.attempted(id, {"e1", kNow.monotonic, false});
-            if (j.flush()) sent.insert(id);
+            if (j.flush())
+              sent.insert(id);
             if (i % 2 == 0) {
               j.over(id);
               j.flush();
@@ -518,12 +557,16 @@
             }
             EXPECT_LE(disk.onDisk(), 200'000u);
           }
-        } catch (const std::runtime_error&) { EXPECT_TRUE(promised.empty()); }
+        } catch (const std::runtime_error&) {
+          EXPECT_TRUE(promised.empty());
+        }
         disk.fail = 0;
         const Found f = reopen(disk);
-        for (const std::string& id : promised) EXPECT_TRUE(f.entries.count(id)) << id;
+        for (const std::string& id : promised)
+          EXPECT_TRUE(f.entries.count(id)) << id;
         for (const auto& [id, e] : f.entries)
-          if (sent.count(id)) EXPECT_GT(mayHaveRun(e), 0u) << id;
+          if (sent.count(id))
+            EXPECT_GT(mayHaveRun(e), 0u) << id;
       }
 }
 
@@ -545,12 +588,15 @@
         }
         live();
         disk_.fail = 0;
-        if (below(3) == 0) powerCut();
-        else disk_.revive();
+        if (below(3) == 0)
+          powerCut();
+        else
+          disk_.revive();
       }
       disk_.kill_at = 0;
       check();
-      if (::testing::Test::HasFatalFailure()) return;
+      if (::testing::Test::HasFatalFailure())
+        return;
     }
   }
 
@@ -563,7 +609,8 @@
     Journal j("d", {150'000, durable_}, now_, disk_);
     std::map<std::string, std::size_t> attempts;
     for (const auto& e : j.recovered().entries)
-      if (!e.ended) attempts[e.message.id] = e.attempts.size();
+      if (!e.ended)
+        attempts[e.message.id] = e.attempts.size();
     for (int step = 0; step < 60 && !disk_.dead(); ++step) {
       std::set<std::string> fresh, over;
       std::vector<std::string> sending;
@@ -571,7 +618,8 @@
         const std::string id = "m" + std::to_string(++ids_);
         TakenOn m = message(id, static_cast<std::size_t>(below(900)));
         m.give_up_at = Deadline::after(now_.monotonic, m.span);
-        if (!j.reserve(m)) continue;
+        if (!j.reserve(m))
+          continue;
         j.accepted(m);
         attempts[id] = 0;
         fresh.insert(id);
@@ -595,37 +643,45 @@
         }
         ++it;
       }
-      for (const std::string& id : over) held_.erase(id);  // it may be there or not from here on
+      for (const std::string& id : over)
+        held_.erase(id);  // it may be there or not from here on
       const bool kept = j.flush();
       ASSERT_LE(disk_.onDisk(), 150'000u);
-      if (disk_.dead()) return;
+      if (disk_.dead())
+        return;
       for (const std::string& id : fresh) {
-        if (kept) held_.insert(id);
+        if (kept)
+          held_.insert(id);
         else {
           j.over(id);
           attempts.erase(id);
         }
       }
       if (kept)
-        for (const std::string& id : sending) ++ran_[id];  // the call goes out
+        for (const std::string& id : sending)
+          ++ran_[id];  // the call goes out
       else
         for (const std::string& id : sending)
-          if (attempts.count(id)) j.neverRan(id, attempts[id] - 1);
+          if (attempts.count(id))
+            j.neverRan(id, attempts[id] - 1);
     }
-  } catch (const std::runtime_error&) {}  // a start that a failing call stopped
+  } catch (const std::runtime_error&) {
+  }  // a start that a failing call stopped
 
   void powerCut() {
     disk_.powerCut();
     now_.boot = "boot-" + std::to_string(++boots_);
     now_.monotonic = kS;
     now_.unix += 60 * kS;
-    if (!durable_) held_.clear();  // the promise is for the process alone
+    if (!durable_)
+      held_.clear();  // the promise is for the process alone
   }
 
   void check() {
     now_.monotonic += kS;
     const Found f = reopen(disk_, now_, durable_);
-    for (const std::string& id : held_) ASSERT_TRUE(f.entries.count(id)) << id << " was taken on; " << f.line;
+    for (const std::string& id : held_)
+      ASSERT_TRUE(f.entries.count(id)) << id << " was taken on; " << f.line;
     for (const auto& [id, e] : f.entries)
       if (ran_.count(id) && ran_[id] > 0 && !e.ended)
         ASSERT_GT(mayHaveRun(e), 0u) << id << " would go out again; " << f.line;
@@ -645,7 +701,8 @@
     for (unsigned seed = 1; seed <= 150; ++seed) {
       SCOPED_TRACE((durable ? "durable, seed " : "seed ") + std::to_string(seed));
       Model(seed, durable).run();
-      if (::testing::Test::HasFatalFailure()) return;
+      if (::testing::Test::HasFatalFailure())
+        return;
     }
 }
 
@@ -659,7 +716,8 @@
   Ran r;
   FILE* p = ::popen((std::string(JOURNAL_INSPECT) + " " + arguments + " 2>&1").c_str(), "r");
   char piece[4096];
-  for (std::size_t n; (n = std::fread(piece, 1, sizeof piece, p)) > 0;) r.out.append(piece, n);
+  for (std::size_t n; (n = std::fread(piece, 1, sizeof piece, p)) > 0;)
+    r.out.append(piece, n);
   r.status = WEXITSTATUS(::pclose(p));
   return r;
 }
--- a/tests/support/loopback.h
+++ b/tests/support/loopback.h
@@ -43,7 +43,8 @@
     path_ = ::mkdtemp(pattern.data());
   }
   ~TempFolder() {
-    for (const char* beside : {"", "-tmp", "-config.json"}) std::filesystem::remove_all(path_ + beside);
+    for (const char* beside : {"", "-tmp", "-config.json"})
+      std::filesystem::remove_all(path_ + beside);
   }
   const std::string& path() const { return path_; }
 
@@ -65,7 +66,8 @@
   }
   ~Listener() { close(); }
   void close() {
-    if (fd >= 0) ::close(fd);
+    if (fd >= 0)
+      ::close(fd);
     fd = -1;
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(port); }
@@ -88,7 +90,8 @@
     }
   }
   ~StuckListener() {
-    for (const int fd : fds_) ::close(fd);
+    for (const int fd : fds_)
+      ::close(fd);
   }
   std::string address() const { return listener_.address(); }
 
@@ -101,7 +104,8 @@
 inline bool eventually(const std::function<bool()>& holds) {
   const auto until = std::chrono::steady_clock::now() + kLong;
   while (!holds()) {
-    if (std::chrono::steady_clock::now() > until) return false;
+    if (std::chrono::steady_clock::now() > until)
+      return false;
     std::this_thread::sleep_for(5ms);
   }
   return true;
@@ -118,7 +122,8 @@
   std::size_t connection = 0, on_it = 0;  // which connection, and the how manieth request on it
   std::string field(const std::string& name) const {
     const auto at = head.find("\r\n" + name + ": ");
-    if (at == std::string::npos) return "";
+    if (at == std::string::npos)
+      return "";
     const auto from = at + name.size() + 4;
     return head.substr(from, head.find("\r\n", from) - from);
   }
@@ -144,7 +149,8 @@
   ~Server() {
     stop_ = true;
     thread_.join();
-    for (auto& t : connections_) t.join();
+    for (auto& t : connections_)
+      t.join();
   }
   std::string address() const { return listener_.address(); }
   std::vector<Seen> seen() {
@@ -164,9 +170,11 @@
   }
   void acceptLoop() {
     for (std::size_t n = 0; !stop_;) {
-      if (!readable(listener_.fd)) continue;
+      if (!readable(listener_.fd))
+        continue;
       const int fd = ::accept4(listener_.fd, nullptr, nullptr, SOCK_CLOEXEC);
-      if (fd >= 0) connections_.emplace_back([this, fd, id = n++] { serve(fd, id); });
+      if (fd >= 0)
+        connections_.emplace_back([this, fd, id = n++] { serve(fd, id); });
     }
   }
   void serve(int fd, std::size_t id) {
@@ -191,13 +199,16 @@
           }
           changed_.notify_all();
           const Act a = script_(s);
-          if (!a.bytes.empty()) (void)!::send(fd, a.bytes.data(), a.bytes.size(), MSG_NOSIGNAL);
+          if (!a.bytes.empty())
+            (void)!::send(fd, a.bytes.data(), a.bytes.size(), MSG_NOSIGNAL);
           reset = a.reset;
-          if (a.close || a.reset) break;
+          if (a.close || a.reset)
+            break;
           continue;
         }
       }
-      if (!readable(fd)) continue;
+      if (!readable(fd))
+        continue;
       char piece[4096];
       const ssize_t n = ::recv(fd, piece, sizeof piece, 0);
       if (n <= 0) {
@@ -282,12 +293,14 @@
     }
     long from = -1;
     const auto at = s.head.find("from=");
-    if (at != std::string::npos) from = std::stol(s.head.substr(at + 5));
+    if (at != std::string::npos)
+      from = std::stol(s.head.substr(at + 5));
     std::unique_lock<std::mutex> l(mutex_);
     asked_ = std::max(asked_, from);
     changed_.notify_all();
     changed_.wait_for(l, kLong, [&] { return stop_ || index_ > from; });
-    if (stop_) return {"", true, false, false};
+    if (stop_)
+      return {"", true, false, false};
     const json body{{"index", index_}, {"snapshot", whole_}, {"endpoints", news_}};
     return {answer("200 OK", "", body.dump()), false, false, false};
   }
@@ -361,14 +374,16 @@
   bool sendSome(const std::string& bytes) {  // false: the other side takes no more, for it has ended
     for (std::size_t done = 0; done < bytes.size();) {
       const ssize_t n = ::send(fd_, bytes.data() + done, bytes.size() - done, MSG_NOSIGNAL);
-      if (n <= 0) return false;
+      if (n <= 0)
+        return false;
       done += static_cast<std::size_t>(n);
     }
     return true;
   }
   void discard() {  // what has come so far
     char piece[1024];
-    while (::recv(fd_, piece, sizeof piece, MSG_DONTWAIT) > 0) {}
+    while (::recv(fd_, piece, sizeof piece, MSG_DONTWAIT) > 0) {
+    }
   }
   // One line without its end; empty if the connection ended first.
   std::string line(const std::string& end_mark = "\r\n") {
@@ -380,10 +395,12 @@
         return l;
       }
       pollfd p{fd_, POLLIN, 0};
-      if (::poll(&p, 1, static_cast<int>(std::chrono::milliseconds(kLong).count())) <= 0) return "";
+      if (::poll(&p, 1, static_cast<int>(std::chrono::milliseconds(kLong).count())) <= 0)
+        return "";
       char piece[1024];
       const ssize_t n = ::recv(fd_, piece, sizeof piece, 0);
-      if (n <= 0) return "";
+      if (n <= 0)
+        return "";
       in_.append(piece, static_cast<std::size_t>(n));
     }
   }
@@ -393,12 +410,14 @@
     pollfd p{fd_, POLLIN, 0};
     char piece[1024];
     while (::poll(&p, 1, static_cast<int>(std::chrono::milliseconds(kLong).count())) > 0)
-      if (::recv(fd_, piece, sizeof piece, 0) <= 0) return true;
+      if (::recv(fd_, piece, sizeof piece, 0) <= 0)
+        return true;
     return false;
   }
   static std::string request(const std::vector<std::string>& words) {
     std::string out = "*" + std::to_string(words.size()) + "\r\n";
-    for (const auto& w : words) out += "$" + std::to_string(w.size()) + "\r\n" + w + "\r\n";
+    for (const auto& w : words)
+      out += "$" + std::to_string(w.size()) + "\r\n" + w + "\r\n";
     return out;
   }
   std::string ask(const std::vector<std::string>& words) {
@@ -435,11 +454,13 @@
                {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}, {"disk_mb", disk_mb}}},
                {"known", {{"index", 1}, {"snapshot", true}, {"endpoints", std::move(endpoints)}}},
                {"settings", std::move(settings)}};
-    if (more.is_object()) config_.update(more);
+    if (more.is_object())
+      config_.update(more);
     start();
   }
   ~Program() {
-    if (pid_ > 0) kill();
+    if (pid_ > 0)
+      kill();
   }
 
   // Replaces the configuration and tells it so.
@@ -543,7 +564,11 @@
   Program program;
 };
 
-inline Act deliver(const Seen&) { return {answer("200 OK")}; }
-inline Act stayOut(const Seen&) { return {}; }
+inline Act deliver(const Seen&) {
+  return {answer("200 OK")};
+}
+inline Act stayOut(const Seen&) {
+  return {};
+}
 
 }  // namespace delivery::loopback
--- a/tests/support/scheduler_fixture.h
+++ b/tests/support/scheduler_fixture.h
@@ -77,7 +77,8 @@
     a.destination = dest;
     a.order_key = key;
     for (const auto& c : set.classes)
-      if (c.name == cls) a.give_up_at = Deadline::after(now, c.deadline);
+      if (c.name == cls)
+        a.give_up_at = Deadline::after(now, c.deadline);
     return a;
   }
   std::vector<std::string> arrive(const std::string& id, const std::string& cls, std::int64_t dest,
@@ -116,7 +117,8 @@
   std::vector<T> got() const {
     std::vector<T> v;
     for (const Action& a : acts)
-      if (const auto* x = std::get_if<T>(&a)) v.push_back(*x);
+      if (const auto* x = std::get_if<T>(&a))
+        v.push_back(*x);
     return v;
   }
 
