--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -50,23 +50,23 @@
 
 }  // namespace
 
-struct Sender::Impl {
+struct DeliveryScheduler::Impl {
   Settings set;
   std::mt19937_64 random;
   Micros now = 0;
   std::vector<Action> acts;
   std::map<std::string, Message> messages;  // also ended ones with an attempt out
-  std::map<std::string, Server> servers;
-  std::map<std::int64_t, Dest> dests;
+  std::map<std::string, Endpoint> servers;
+  std::map<std::int64_t, Destination> dests;
   std::map<std::string, KeyLine> keys;
   std::set<std::pair<Micros, std::string>> ends;
-  std::unordered_map<std::uint64_t, int> calls;                        // attempts out in each call
-  std::unordered_map<Server*, std::pair<std::uint64_t, int>> forming;  // this turn's calls with room
+  std::unordered_map<std::uint64_t, int> calls;                          // attempts out in each call
+  std::unordered_map<Endpoint*, std::pair<std::uint64_t, int>> forming;  // this turn's calls with room
   std::vector<Rate> tenant_rate;
   // Running sets, so that a turn costs what changed or is out, not what is listed.
-  std::map<std::int64_t, Dest*> backlog;                           // destinations with held messages
+  std::map<std::int64_t, Destination*> backlog;                    // destinations with held messages
   std::map<std::uint64_t, std::pair<Message*, std::size_t>> outs;  // attempts out, oldest first
-  std::map<std::string, Server*> active;                           // those with a recent outcome
+  std::map<std::string, Endpoint*> active;                         // those with a recent outcome
   double typical = 0;                                              // mean latency of all answered calls
   int typical_of = 0;
   double shift = 0;  // added to every stored global tag
@@ -80,12 +80,12 @@
   double common_slow = 1, least_aim = 1e300;
   double dead_score = 0;  // signs of connections that die idle, decayed; the shortest that died
   Micros dead_least = kNever, dead_at = -kNever;
-  Kind plain_kind;
+  DestinationKind plain_kind;
 
   Impl(Settings s, std::uint64_t seed) : set(std::move(s)), random(seed) {
     tenant_rate.resize(set.tenants.size());
     for (const auto& c : set.classes) least_aim = std::min(least_aim, static_cast<double>(c.aim));
-    ask_at = set.list == ListMode::ask ? 0 : kNever;
+    ask_at = set.list == DiscoveryMode::poll ? 0 : kNever;
   }
 
   // ==== 1. Tags
@@ -97,21 +97,21 @@
     if (least < 1e300) shift += static_cast<double>(now) - least;
   }
 
-  double weightOf(const Dest& d) const {
-    for (const Server* s : d.servers)
+  double weightOf(const Destination& d) const {
+    for (const Endpoint* s : d.servers)
       if (s->state == EndpointState::ready && set.weights != WeightKind::none && s->weight > 0)
         return s->weight;
     return 1;
   }
 
   // M: one start for each aim of the most urgent held class.
-  void updatePeriod(Dest& d) {
+  void updatePeriod(Destination& d) {
     d.period = static_cast<double>(d.held.front()->cls->aim);
     for (const Message* m : d.held) d.period = std::min(d.period, static_cast<double>(m->cls->aim));
   }
 
   void hold(Message& m, Micros not_before) {
-    Dest& d = *m.dest;
+    Destination& d = *m.dest;
     adjustGlobalTags();
     m.held = true;
     m.not_before = not_before;
@@ -128,7 +128,7 @@
 
   // Takes a message out of the held ones. A start takes the first tag; one that leaves unserved the last.
   void unhold(Message& m, bool started) {
-    Dest& d = *m.dest;
+    Destination& d = *m.dest;
     d.held.erase(std::find(d.held.begin(), d.held.end(), &m));
     m.held = false;
     if (started) {
@@ -141,15 +141,16 @@
     if (d.tags.empty()) backlog.erase(d.id);
   }
 
-  void dropLocalTags(Dest& d) {
+  void dropLocalTags(Destination& d) {
     for (Tag& t : d.tags) t.local -= d.period;
     d.last_local -= d.period;
   }
 
   // The order in which destinations may use a free slot: due local tags first, then global ones. Those
   // that owe a try to what a restart found come before all others: it has waited longest and has least time.
-  std::multimap<std::tuple<bool, bool, double>, Dest*> tagOrder() {
-    std::multimap<std::tuple<bool, bool, double>, Dest*> order;  // owes none, by its global tag?, the tag
+  std::multimap<std::tuple<bool, bool, double>, Destination*> tagOrder() {
+    std::multimap<std::tuple<bool, bool, double>, Destination*>
+        order;  // owes none, by its global tag?, the tag
     for (auto& [id, d] : backlog) {
       const Tag& t = d->tags.front();
       const bool due = t.local <= static_cast<double>(now);
@@ -165,7 +166,7 @@
     const double deadline = std::max(aim, static_cast<double>(c.deadline));
     double share = 1;
     if (age >= deadline) return 0;
-    if (age > aim && set.late == LateRule::line)
+    if (age > aim && set.late == LateDecay::linear)
       share = 1 - (1 - c.late_worth) * (age - aim) / (deadline - aim);
     else if (age > aim)
       share = std::max(c.late_worth, std::exp2(-(age - aim) / aim));
@@ -174,12 +175,12 @@
 
   // ==== 2. Upper bound
 
-  bool apart(const Server& s) const { return s.kind->routes_apart; }
-  Guard& scope(Server& s) { return apart(s) ? s.guard : s.dest->guard; }
+  bool apart(const Endpoint& s) const { return s.kind->routes_apart; }
+  Guard& scope(Endpoint& s) { return apart(s) ? s.guard : s.dest->guard; }
 
-  double readyServers(const Dest& d) const {
+  double readyServers(const Destination& d) const {
     const auto n =
-        std::count_if(d.servers.begin(), d.servers.end(), [this](Server* s) { return usable(*s); });
+        std::count_if(d.servers.begin(), d.servers.end(), [this](Endpoint* s) { return usable(*s); });
     return std::max(1.0, static_cast<double>(n));
   }
 
@@ -215,7 +216,7 @@
   }
 
   // How much later this sender comes back to a destination that is away, so that all do not come as one.
-  double comeBack(const Guard& g, const Dest& d) {
+  double comeBack(const Guard& g, const Destination& d) {
     const double most = std::min(trafficSpan(), 1 / coldRate(g, g.limit, perSecond(d.traffic)));
     return g.down ? std::uniform_real_distribution<double>(0, most * kSecond)(random) : 0;
   }
@@ -247,7 +248,7 @@
   // Where this sender is one of many, first tries pass pacing that would outlast the message, but not while
   // the destination is down: the usual traffic of those that saw an outage pushed it over. Guards against
   // ramps and parts that last for rare senders. Harm: calls above a limit, which may use it up.
-  Micros opensAt(Server& s, const Message* m) {
+  Micros opensAt(Endpoint& s, const Message* m) {
     const double limit = scope(s).limit, held = static_cast<double>(s.dest->held.size()) / trafficSpan();
     const double own = std::max(perSecond(s.dest->traffic), held);
     const bool rare = many() && own < (limit > 0 ? kRare * limit : 2 / trafficSpan());
@@ -264,7 +265,7 @@
     g.u = std::clamp(g.u, t - burst, t) + gap;  // a call that passed the pacing leaves no debt
   }
 
-  void learnLimit(Server& s, const std::optional<LimitReport>& report) {
+  void learnLimit(Endpoint& s, const std::optional<LoadReport>& report) {
     if (!report || report->limit <= 0) return;
     Guard& g = scope(s);
     g.limit = g.told ? 0.75 * g.limit + 0.25 * report->limit : report->limit;
@@ -273,7 +274,7 @@
   }
 
   // Refused: take a smaller part. Guards against many that each think theirs harmless, and untold limits.
-  void refusedAt(Server& s, bool told_wait) {
+  void refusedAt(Endpoint& s, bool told_wait) {
     Guard& g = scope(s);
     const double own = perSecond(s.dest->traffic) / (apart(s) ? readyServers(*s.dest) : 1);
     const bool unknown = g.limit <= 0;
@@ -302,7 +303,7 @@
   // The last that was seen of it is no answer: a call out far too long, or a failed one.
   bool stalled(const Guard& g) const { return g.overdue > 0 || g.streak > 0; }
   bool sick(const Guard& g) const { return g.down || slow(g) || stalled(g); }
-  bool sick(const Server& s) const { return sick(s.guard) || (!apart(s) && sick(s.dest->guard)); }
+  bool sick(const Endpoint& s) const { return sick(s.guard) || (!apart(s) && sick(s.dest->guard)); }
 
   // A slowdown common to all is no sickness: each is held against the median of what all show.
   void measureCommonSlowdown() {
@@ -329,12 +330,12 @@
   // against a hanging destination that fills the slots. Harm: a chance long call puts it into the lane.
   void countOverdue() {
     for (auto& [order, o] : outs) {
-      Server& s = *o.first->attempts[o.second].server;
+      Endpoint& s = *o.first->attempts[o.second].server;
       s.guard.overdue = s.dest->guard.overdue = 0;
     }
     for (auto& [order, o] : outs) {
       Attempt& a = o.first->attempts[o.second];
-      Server& s = *a.server;
+      Endpoint& s = *a.server;
       if (static_cast<double>(now - a.sent) < kStallRatio * common_slow * usualLatency(s)) continue;
       a.late = true;
       s.guard.overdue += s.guard.last_ok < a.sent;
@@ -343,7 +344,7 @@
     }
   }
 
-  double usualLatency(const Server& s) const {
+  double usualLatency(const Endpoint& s) const {
     if (s.guard.samples > 0) return s.guard.usual;
     if (s.dest->guard.samples > 0) return s.dest->guard.usual;
     return typical_of > 0 ? typical : least_aim / kTimeoutRatio;
@@ -365,11 +366,12 @@
   // Failures, time-outs, failed connects and unbroken refusals are one kind of evidence: the destination does
   // not serve. Guards against crashes, hangs, shut doors, silence and mostly failing calls alike, and against
   // pushing over whatever returns. Harm: chance failures start a ramp.
-  void noteOutcome(Guard& g, Result r, bool hard) {
+  void noteOutcome(Guard& g, AttemptResult r, bool hard) {
     g.last_end = now;
-    const bool unknown = r == Result::error || r == Result::timeout || r == Result::reset;
+    const bool unknown =
+        r == AttemptResult::error || r == AttemptResult::timeout || r == AttemptResult::reset;
     g.risk += kFailGain * ((unknown ? 1.0 : 0.0) - g.risk);
-    if (r == Result::ok) {
+    if (r == AttemptResult::ok) {
       const bool brief = g.failed <= kFailMost && now - g.first_bad < set.fall_span / 2;
       g.failed -= kFailGain * g.failed;
       if (g.down) {
@@ -401,22 +403,23 @@
     }
   }
 
-  void learn(Server& s, Result r, Micros rtt, Micros wait) {
-    if (r == Result::cancelled || r == Result::not_sent) return;
-    const bool hard = r != Result::ok && r != Result::full, was_down = scope(s).down;
+  void learn(Endpoint& s, AttemptResult r, Micros rtt, Micros wait) {
+    if (r == AttemptResult::cancelled || r == AttemptResult::not_sent) return;
+    const bool hard = r != AttemptResult::ok && r != AttemptResult::throttled, was_down = scope(s).down;
     active[s.id] = &s;
-    if (r == Result::ok) typical += (static_cast<double>(rtt) - typical) / ++typical_of;
+    if (r == AttemptResult::ok) typical += (static_cast<double>(rtt) - typical) / ++typical_of;
     Guard* levels[2] = {&s.guard, apart(s) ? nullptr : &s.dest->guard};
     for (Guard* g : levels) {
       if (!g) continue;
-      if (r == Result::ok || r == Result::timeout) noteLatency(*g, static_cast<double>(rtt), r == Result::ok);
+      if (r == AttemptResult::ok || r == AttemptResult::timeout)
+        noteLatency(*g, static_cast<double>(rtt), r == AttemptResult::ok);
       noteOutcome(*g, r, hard);
-      if (r == Result::full) continue;
+      if (r == AttemptResult::throttled) continue;
       count(g->served);
       if (g->learned) g->limit = std::min(1e9, g->limit * (1 + kRegain));
       if (many() && hard && g->down) g->u = std::max(g->u, static_cast<double>(now) + comeBack(*g, *s.dest));
     }
-    if (r == Result::full) {
+    if (r == AttemptResult::throttled) {
       Guard& g = scope(s);
       if (!g.down) refusedAt(s, wait > 0);
       // Nothing goes there before a told wait is over; after a long one, an outage, each adds its spread.
@@ -431,14 +434,14 @@
   }
 
   // What a restart must not forget: the next process resumes a backlog, and would push over what returns.
-  void keepHealth(Server& s, bool changed) {
+  void keepHealth(Endpoint& s, bool changed) {
     Guard& g = scope(s);
     if (!changed && std::abs(g.cold_since - g.noted) <= set.fall_span / 2) return;
     g.noted = g.cold_since;
-    acts.push_back(Ailment{apart(s) ? s.id : "", s.dest->id, g.down, g.cold_since, g.wait_until});
+    acts.push_back(HealthRecord{apart(s) ? s.id : "", s.dest->id, g.down, g.cold_since, g.wait_until});
   }
 
-  void on(const Ailment& a) {
+  void on(const HealthRecord& a) {
     auto s = servers.find(a.endpoint);
     if (!a.endpoint.empty() && s == servers.end()) return;
     Guard& g = a.endpoint.empty() ? dests[a.destination].guard : s->second.guard;
@@ -463,7 +466,7 @@
   void clearLane() {
     if (!set.may_cancel || static_cast<int>(calls.size()) < set.slots) return;
     int excess = laneUsed() - laneSlots();
-    std::multimap<Effect, std::pair<Message*, std::size_t>> late;  // the oldest first, of each effect
+    std::multimap<Idempotency, std::pair<Message*, std::size_t>> late;  // the oldest first, of each effect
     for (auto& [order, o] : outs) {
       const Attempt& a = o.first->attempts[o.second];
       if (a.called_off)
@@ -474,7 +477,7 @@
     for (auto& [effect, o] : late) {
       if (excess-- <= 0) return;
       o.first->attempts[o.second].called_off = true;
-      acts.push_back(Cancel{o.first->id, static_cast<int>(o.second)});
+      acts.push_back(CancelAttempt{o.first->id, static_cast<int>(o.second)});
     }
   }
 
@@ -486,15 +489,15 @@
 
   // THE effect rule. No repeat of what may have run, but: safe ones at will; keyed ones only where and while
   // the destination drops repeats; never two out at once unless the site allows copies.
-  bool maySend(const Message& m, const Server& s) const {
+  bool maySend(const Message& m, const Endpoint& s) const {
     if (static_cast<int>(m.attempts.size()) >= set.max_attempts) return false;
     if (m.out > 0 && !set.may_copy) return false;
-    if (m.cls->effect == Effect::safe || !mayHaveRun(m)) return true;
-    if (m.cls->effect == Effect::unsafe) return false;
+    if (m.cls->effect == Idempotency::idempotent || !mayHaveRun(m)) return true;
+    if (m.cls->effect == Idempotency::non_idempotent) return false;
     for (const Attempt& a : m.attempts) {
       if (!a.may_have_run) continue;
-      if (m.cls->group != RepeatGroup::all && (!a.server || a.server->zone != s.zone)) return false;
-      if (m.cls->group == RepeatGroup::cell && a.server->dest != s.dest) return false;
+      if (m.cls->group != DeduplicationScope::all && (!a.server || a.server->zone != s.zone)) return false;
+      if (m.cls->group == DeduplicationScope::cell && a.server->dest != s.dest) return false;
       // Its connection may first have to come up, and the repeat arrives so much later.
       if (now > a.sent + m.cls->memory - 2 * set.tick - set.dial_timeout) return false;
     }
@@ -505,13 +508,13 @@
 
   // A refusal promises that handing the message in again does no harm.
   bool mayRefuse(const Message& m) const {
-    if (m.cls->effect == Effect::safe || !mayHaveRun(m)) return true;
-    return m.cls->effect == Effect::keyed && m.cls->group == RepeatGroup::all;
+    if (m.cls->effect == Idempotency::idempotent || !mayHaveRun(m)) return true;
+    return m.cls->effect == Idempotency::with_key && m.cls->group == DeduplicationScope::all;
   }
 
   // None where a told wait outlasts the message.
   bool anySendLeft(const Message& m) {
-    for (Server* s : m.dest->servers)
+    for (Endpoint* s : m.dest->servers)
       if (maySend(m, *s) && scope(*s).wait_until < m.end_at) return true;
     return m.attempts.empty() && m.dest->servers.empty();
   }
@@ -523,17 +526,17 @@
   }
 
   // The list told of a drain or removal: nothing new goes there from that moment, well inside the grace.
-  bool usable(const Server& s) const { return s.state == EndpointState::ready; }
+  bool usable(const Endpoint& s) const { return s.state == EndpointState::ready; }
 
   // Time-out: many usual latencies, stretched by what the destination and everything show now. An unsafe
   // message could not be sent again, so it waits longer; but not for all its time, or the calls at a hanging
   // destination would hold the slots of all others. At least one tick: the next turn hears an answer no
   // later, so a shorter one only loses answers that were on their way (fast destinations, a busy machine).
-  Micros timeoutFor(const Message& m, const Server& s) const {
+  Micros timeoutFor(const Message& m, const Endpoint& s) const {
     const double left = static_cast<double>(std::max<Micros>(1, m.end_at - now));
     const Guard& g = s.guard;
     const double slowness = std::max({1.0, common_slow, g.samples > 0 ? g.recent : 1.0});
-    const double patience = m.cls->effect == Effect::unsafe ? kUnsafePatience : 1;
+    const double patience = m.cls->effect == Idempotency::non_idempotent ? kUnsafePatience : 1;
     const double most = kTimeoutRatio * patience * usualLatency(s) * slowness;
     return static_cast<Micros>(std::min(left, std::max({1.0, static_cast<double>(set.tick), most})));
   }
@@ -542,7 +545,7 @@
   // lost on a reused connection and the destination's next, on a fresh one, answered. Then connections that
   // idled about as long are closed before the next call. Also covers destinations that drop idle connections
   // silently. Harm: more handshakes while a hang is mistaken for it.
-  void noteConnection(Dest& d, Micros idled, bool lost) {
+  void noteConnection(Destination& d, Micros idled, bool lost) {
     if (lost) {
       d.lost_idle = idled;  // a lost fresh call clears the suspicion: the destination itself hangs
       return;
@@ -559,11 +562,11 @@
     d.lost_idle = -1;
   }
 
-  Micros takeConnection(Server& s) {
+  Micros takeConnection(Endpoint& s) {
     while (!s.idle.empty() && set.conn_idle > 0 && now - s.idle.front() >= set.conn_idle) s.idle.pop_front();
     const bool dead = dead_score > kDeadSigns / (many() ? 2 : 1) && now - dead_at < kSuspect * set.ramp_time;
     if (dead && !s.idle.empty() && now - s.idle.front() >= dead_least / 2) {
-      acts.push_back(CloseIdle{s.id});
+      acts.push_back(CloseIdleConnections{s.id});
       s.idle.clear();
     }
     if (s.idle.empty()) return -1;
@@ -575,19 +578,19 @@
   // An endpoint takes so many connections, idle ones counted: none is kept for a call that won't come soon,
   // nor where a connect failed of late. Guards against tables full of the idle ones of many, which look like
   // an outage to all others. Harm: a handshake a call after a crash.
-  void keepConnection(Server& s) {
+  void keepConnection(Endpoint& s) {
     s.idle.push_back(now);
     const double others =
         std::max(0.0, perSecond(s.dest->traffic) - 1 / trafficSpan()) / readyServers(*s.dest);
     const double least = kReuseLeast * std::min(1.0, set.senders / kCrowd);
     const bool full_table = many() && now - s.no_connect < kSuspect * set.ramp_time;
     if (!full_table && others * static_cast<double>(set.conn_idle) / kSecond >= least) return;
-    acts.push_back(CloseIdle{s.id});
+    acts.push_back(CloseIdleConnections{s.id});
     s.idle.clear();
   }
 
-  void send(Message& m, Server& s, bool global_phase) {
-    Dest& d = *m.dest;
+  void send(Message& m, Endpoint& s, bool global_phase) {
+    Destination& d = *m.dest;
     unhold(m, true);
     if (global_phase) dropLocalTags(d);
     auto room = forming.find(&s);
@@ -607,7 +610,7 @@
     }
     s.used = now;
     track(m, {&s, now, call, 0, true, true, idled});
-    acts.push_back(Send{m.id, s.id, timeoutFor(m, s)});
+    acts.push_back(SendAttempt{m.id, s.id, timeoutFor(m, s)});
   }
 
   void track(Message& m, Attempt a) {  // from now on it is out
@@ -629,7 +632,7 @@
     --a.server->out;
   }
 
-  bool serverOpen(Server& s, const Message& m) {
+  bool serverOpen(Endpoint& s, const Message& m) {
     if (!usable(s) || !maySend(m, s)) return false;
     // Before the process ends only what will be heard is started: the rest would be lost in the unknown.
     const double heard = kStallRatio * kUnsafePatience * common_slow * usualLatency(s);
@@ -638,31 +641,32 @@
     // A message that can't be repeated is no trial: it would be lost where calls end in the unknown. It goes
     // after all when half of its time is used up.
     const bool risky = std::max(g.risk, s.guard.risk) > kRiskMost;
-    return !(m.cls->effect == Effect::unsafe && risky && now - m.handed_in < m.cls->deadline / 2);
+    return !(m.cls->effect == Idempotency::non_idempotent && risky &&
+             now - m.handed_in < m.cls->deadline / 2);
   }
 
   // The fewest calls out; then a kept connection, then the one that rested longest, at first a random one:
   // else all senders would crowd the endpoint that the list names first.
-  Server* chooseServer(Dest& d, const Message& m) {
-    Server* best = nullptr;
-    auto key = [&](Server& s) {
+  Endpoint* chooseServer(Destination& d, const Message& m) {
+    Endpoint* best = nullptr;
+    auto key = [&](Endpoint& s) {
       std::size_t zone = 0;
       while (zone < set.zones.size() && set.zones[zone] != s.zone) ++zone;
       const double fee = apart(s) && zone < set.zone_fee.size() ? set.zone_fee[zone] : 0;
       return std::make_tuple(sick(s) ? 1 : 0, fee, s.out, s.idle.empty(), s.used);
     };
-    for (Server* s : d.servers) {
+    for (Endpoint* s : d.servers) {
       if (opensAt(*s, &m) > now || !serverOpen(*s, m)) continue;
       if (!best || key(*s) < key(*best)) best = s;
     }
     return best;
   }
 
-  using Pick = std::pair<Message*, Server*>;
-  Pick choose(Dest& d) {
+  using Pick = std::pair<Message*, Endpoint*>;
+  Pick choose(Destination& d) {
     Pick best{nullptr, nullptr};
     std::pair<bool, double> best_loss{false, -1};  // those that are owed a try first
-    for (Server* s : d.servers) {
+    for (Endpoint* s : d.servers) {
       const Micros later = usable(*s) ? opensAt(*s, nullptr) : now;
       if (later > now) next_wake = std::min(next_wake, later);
     }
@@ -676,7 +680,7 @@
       const std::pair<bool, double> loss{
           owedTry(m), worthAt(*m, now) - worthAt(*m, now + drain) + 1e-3 * worthAt(*m, now)};
       if (loss <= best_loss) continue;
-      Server* s = chooseServer(d, *m);
+      Endpoint* s = chooseServer(d, *m);
       if (!s) continue;
       best_loss = loss;
       best = {m, s};
@@ -684,9 +688,9 @@
     return best;
   }
 
-  Micros drainTime(Dest& d) {
+  Micros drainTime(Destination& d) {
     double rate = 0;
-    for (Server* s : d.servers)
+    for (Endpoint* s : d.servers)
       if (usable(*s))
         rate = apart(*s) ? rate + rateOf(s->guard, s->guard.limit, perSecond(d.traffic) / readyServers(d))
                          : rateOf(d.guard, d.guard.limit, perSecond(d.traffic));
@@ -715,7 +719,7 @@
     }
   }
 
-  void fillCall(Dest& d, Server& s) {
+  void fillCall(Destination& d, Endpoint& s) {
     while (forming[&s].second > 0 && !d.held.empty()) {
       Message* next = nullptr;
       for (Message* m : d.held)
@@ -726,7 +730,7 @@
     }
   }
 
-  void on(const Outcome& o) {
+  void on(const AttemptOutcome& o) {
     auto it = messages.find(o.id);
     if (it == messages.end()) return;
     Message& m = it->second;
@@ -736,16 +740,17 @@
     Micros& until = scope(*a.server).wait_until;
     if (o.still_out) return void(until = std::max(until, now + o.wait));
     settle(m, a);
-    if (o.result == Result::ok || o.result == Result::error || o.result == Result::full)
+    if (o.result == AttemptResult::ok || o.result == AttemptResult::error ||
+        o.result == AttemptResult::throttled)
       keepConnection(*a.server);
-    if (o.result == Result::ok || (a.late && (o.result == Result::timeout || a.called_off)))
-      noteConnection(*a.server->dest, a.idled, o.result != Result::ok);
-    a.may_have_run =
-        !(o.result == Result::full || o.result == Result::connect_failed || o.result == Result::not_sent);
-    if (o.result == Result::connect_failed) a.server->no_connect = now;
+    if (o.result == AttemptResult::ok || (a.late && (o.result == AttemptResult::timeout || a.called_off)))
+      noteConnection(*a.server->dest, a.idled, o.result != AttemptResult::ok);
+    a.may_have_run = !(o.result == AttemptResult::throttled || o.result == AttemptResult::connect_failed ||
+                       o.result == AttemptResult::not_sent);
+    if (o.result == AttemptResult::connect_failed) a.server->no_connect = now;
     learnLimit(*a.server, o.report);
     learn(*a.server, o.result, o.rtt > 0 ? o.rtt : now - a.sent, o.wait);
-    const bool runs_on = a.may_have_run && o.result != Result::ok && o.result != Result::error;
+    const bool runs_on = a.may_have_run && o.result != AttemptResult::ok && o.result != AttemptResult::error;
     if (runs_on && !m.key.empty()) {
       KeyLine& k = keys[m.key];
       k.quiet_until = std::max(k.quiet_until, now + set.order_pause);
@@ -755,7 +760,7 @@
       Message& held = *a.server->dest->held[i];
       if (!anySendLeft(held)) giveUp(held, true);
     }
-    if (o.finished || o.result == Result::ok) close(m);
+    if (o.finished || o.result == AttemptResult::ok) close(m);
     if (!m.ended) again(m, *a.server);
     forget(m);
   }
@@ -763,7 +768,7 @@
   // A further try: fresh tags, after pauses that double so that the attempts last for the time left; among
   // many senders an aim later at least: they would take the place of first tries still in time, and those
   // of a clump came back as one and pushed over what returned. Also guards against limits that eat all tries.
-  void again(Message& m, Server& s) {
+  void again(Message& m, Endpoint& s) {
     if (m.held || m.out > 0) return;
     if (now >= m.end_at || !anySendLeft(m)) return finish(m, now < m.end_at);
     const double left = static_cast<double>(m.end_at - now);
@@ -785,7 +790,7 @@
     if (worth_a_return && mayRefuse(m)) {
       const Micros open_in = std::max(drainTime(*m.dest), m.dest->guard.wait_until - now);
       const Micros pause = set.told_pause ? std::min(set.max_pause, open_in) : 0;
-      acts.push_back(Refuse{m.id, pause});
+      acts.push_back(Reject{m.id, pause});
     } else {
       acts.push_back(Fail{m.id});
     }
@@ -857,14 +862,14 @@
   // What an earlier process of this sender took on. Its attempts count as made; one whose end was not heard
   // may have run, and one that it still has out is waited for. Guards against a second effect after a
   // restart. What it never tried is tried: no place and no queue is too full for what was promised.
-  void on(const Resumed& r) {
+  void on(const RecoveredMessage& r) {
     Message* m = take(r.message);
     if (!m) return;
     m->resumed = r.restarted;
     door = m->order;
-    for (const PastAttempt& p : r.attempts) {
+    for (const RecoveredAttempt& p : r.attempts) {
       auto s = servers.find(p.endpoint);
-      Server* server = s == servers.end() ? nullptr : &s->second;
+      Endpoint* server = s == servers.end() ? nullptr : &s->second;
       const Attempt a{server, p.sent, ++next_call, 0, p.out && server, p.may_have_run};
       if (a.out) ++server->out;
       a.out ? track(*m, a) : m->attempts.push_back(a);
@@ -916,29 +921,29 @@
 
   // ==== 6. Membership
 
-  void on(const ListUpdate& u) {
-    if (u.kind == ListKind::failed) {
+  void on(const EndpointsChanged& u) {
+    if (u.kind == EndpointUpdateKind::failed) {
       // The registry turned the call away: ask again, ever later, so that many senders don't hammer it.
       ask_failures = std::min(ask_failures + 1, 6);
       const double base = static_cast<double>(std::max<Micros>(1, set.ask_within)) / 64;
       const double jitter = 0.5 + std::uniform_real_distribution<double>(0, 1)(random);
-      if (set.list == ListMode::ask)
+      if (set.list == DiscoveryMode::poll)
         ask_at = now + static_cast<Micros>(base * std::exp2(ask_failures) * jitter / 2);
       return;
     }
     ask_failures = 0;
-    if (u.kind != ListKind::delta)
-      for (auto& [id, s] : servers) s.state = EndpointState::gone;
-    for (const Endpoint& e : u.endpoints) {
-      Server& s = servers[e.id];
+    if (u.kind != EndpointUpdateKind::delta)
+      for (auto& [id, s] : servers) s.state = EndpointState::removed;
+    for (const EndpointInfo& e : u.endpoints) {
+      Endpoint& s = servers[e.id];
       s.id = e.id;
       s.zone = e.zone;
       s.state = e.state;
       s.weight = e.weight;
       s.kind = &plain_kind;
-      for (const Kind& k : set.kinds)
+      for (const DestinationKind& k : set.kinds)
         if (k.name == e.kind) s.kind = &k;
-      Dest& d = dests[e.destination];
+      Destination& d = dests[e.destination];
       if (s.dest != &d) {
         if (s.dest) s.dest->servers.erase(std::find(s.dest->servers.begin(), s.dest->servers.end(), &s));
         s.dest = &d;
@@ -955,15 +960,15 @@
 
   void askForList() {
     if (ask_at > now) return void(next_wake = std::min(next_wake, ask_at));
-    acts.push_back(Watch{});
+    acts.push_back(SubscribeEndpoints{});
     ask_at = kNever;
   }
 
   // ==== The turn
 
-  void on(const Stopping& e) { stop_at = e.at; }
-  void on(const Wake&) {}
-  void on(const Gone& e) {
+  void on(const ShutdownScheduled& e) { stop_at = e.at; }
+  void on(const TimerFired&) {}
+  void on(const Abandoned& e) {
     auto it = messages.find(e.id);
     if (it == messages.end()) return;
     close(it->second);
@@ -976,7 +981,7 @@
     next_wake = std::max(next_wake, now + std::max<Micros>(1, set.tick));
     if (wake_at > now && wake_at <= next_wake) return;
     wake_at = next_wake;
-    acts.push_back(WakeIn{wake_at - now});
+    acts.push_back(SetTimer{wake_at - now});
   }
 
   std::vector<Action> decide(Micros at, const std::vector<Event>& events) {
@@ -997,11 +1002,11 @@
   }
 };
 
-Sender::Sender(Settings settings, std::uint64_t seed)
+DeliveryScheduler::DeliveryScheduler(Settings settings, std::uint64_t seed)
     : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
-Sender::~Sender() = default;
+DeliveryScheduler::~DeliveryScheduler() = default;
 
-std::vector<Action> Sender::decide(Micros now, const std::vector<Event>& events) {
+std::vector<Action> DeliveryScheduler::decide(Micros now, const std::vector<Event>& events) {
   return impl_->decide(now, events);
 }
 
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -1,6 +1,6 @@
 // The interface of the decision module. Types only: no decision and no tuned value stands here.
-// One Sender decides for one sending process. It does no I/O and reads no clock: the host hands it what
-// happened (events) and carries out what it answers (actions).
+// One DeliveryScheduler decides for one sending process. It does no I/O and reads no clock: the host hands it
+// what happened (events) and carries out what it answers (actions).
 #pragma once
 
 #include <memory>
@@ -13,11 +13,15 @@
 
 namespace delivery {
 
-enum class Effect { safe, keyed, unsafe };   // repeat at will, repeat inside group and memory, never twice
-enum class RepeatGroup { all, zone, cell };  // keyed: which endpoints of the destination drop repeats
-enum class LateRule { line, halves };        // how worth falls once the aim has passed
-enum class WeightKind { none, nominal, rough };  // what Endpoint::weight tells
-enum class ListMode { push, ask };               // does membership come by itself?
+enum class Idempotency {
+  idempotent,
+  with_key,
+  non_idempotent
+};  // repeat at will, repeat inside group and memory, never twice
+enum class DeduplicationScope { all, zone, cell };  // keyed: which endpoints of the destination drop repeats
+enum class LateDecay { linear, halving };           // how worth falls once the aim has passed
+enum class WeightKind { none, nominal, rough };     // what EndpointInfo::weight tells
+enum class DiscoveryMode { push, poll };            // does membership come by itself?
 
 struct MessageClass {
   std::string name;
@@ -26,8 +30,8 @@
   double aim_stretch = 0;
   double worth = 1;
   double late_worth = 0;  // share of the worth left at the deadline
-  Effect effect = Effect::safe;
-  RepeatGroup group = RepeatGroup::all;
+  Idempotency effect = Idempotency::idempotent;
+  DeduplicationScope group = DeduplicationScope::all;
   Micros memory = 0;     // keyed: how long a repeat is dropped
   bool ordered = false;  // one at a time per order key
 };
@@ -38,7 +42,7 @@
   double share = 0;
 };
 
-struct Kind {  // a kind of destination
+struct DestinationKind {  // a kind of destination
   std::string name;
   bool routes_apart = false;  // each endpoint has its own limit, waits and outages
   int per_call = 1;           // messages that may share a call
@@ -47,19 +51,19 @@
 struct Settings {
   std::vector<MessageClass> classes;
   std::vector<Tenant> tenants;
-  std::vector<Kind> kinds;
+  std::vector<DestinationKind> kinds;
   std::vector<double> zone_fee;  // by position in zones
   std::vector<std::string> zones;
-  LateRule late = LateRule::line;
+  LateDecay late = LateDecay::linear;
   WeightKind weights = WeightKind::none;
-  ListMode list = ListMode::push;
+  DiscoveryMode list = DiscoveryMode::push;
   int senders = 1;   // how many senders share the destinations
   int slots = 1;     // calls out at once
   int max_open = 1;  // messages held, sent or not
   int max_attempts = 1;
   bool may_cancel = false;
   bool may_copy = false;    // two attempts of a message out at once
-  bool told_pause = false;  // does a client hear Refuse::pause?
+  bool told_pause = false;  // does a client hear Reject::pause?
   Micros tick = 0;          // shortest gap between two calls of decide
   Micros answer_slack = 0;
   Micros ask_within = 0;  // list by asking: unasked for this long, the list counts as told
@@ -75,9 +79,9 @@
   double over_share_worth = 1;
 };
 
-enum class EndpointState { ready, draining, gone };
+enum class EndpointState { ready, draining, removed };
 
-struct Endpoint {
+struct EndpointInfo {
   std::string id;
   std::string zone;
   std::string kind;
@@ -86,12 +90,12 @@
   double weight = 0;  // calls a second that the destination (or route) takes, see WeightKind
 };
 
-struct LimitReport {  // what an answer told of the destination's limit
-  double left = 0;    // share of the allowance left
-  double limit = 0;   // calls a second; 0: no limit
+struct LoadReport {  // what an answer told of the destination's limit
+  double left = 0;   // share of the allowance left
+  double limit = 0;  // calls a second; 0: no limit
 };
 
-enum class Result { ok, error, full, timeout, connect_failed, reset, cancelled, not_sent };
+enum class AttemptResult { ok, error, throttled, timeout, connect_failed, reset, cancelled, not_sent };
 
 // ---- events
 struct Arrival {
@@ -102,20 +106,20 @@
   bool repeat = false;  // a client's next try, or held before by a sender that died
 };
 // A message that this sender had taken on before its process ended, with its attempts.
-struct PastAttempt {
+struct RecoveredAttempt {
   std::string endpoint;  // may be listed no more, or unknown
   Micros sent = 0;       // may be before the first turn
   bool may_have_run = true;
   bool out = false;  // the process before still has it out, and its outcome will come
 };
-struct Resumed {
+struct RecoveredMessage {
   Arrival message;
   bool restarted = true;  // false: from a process that hands over, and is one sender with this one
-  std::vector<PastAttempt> attempts;
+  std::vector<RecoveredAttempt> attempts;
 };
 // The health of a destination, or of an endpoint that is a route apart, for the next process of this sender:
 // asked to be kept as an action, given back as an event. cold_since in the far past: healthy.
-struct Ailment {
+struct HealthRecord {
   std::string endpoint;  // empty: the destination
   std::int64_t destination = 0;
   bool down = false;
@@ -123,60 +127,62 @@
   Micros wait_until = 0;  // told to wait
 };
 // This process ends at `at`: an outcome that comes later is not heard.
-struct Stopping {
+struct ShutdownScheduled {
   Micros at = 0;
 };
-struct Gone {
+struct Abandoned {
   std::string id;
 };  // nobody wants it any more
-struct Outcome {
+struct AttemptOutcome {
   std::string id;
   int attempt = 0;
-  Result result = Result::ok;
+  AttemptResult result = AttemptResult::ok;
   bool finished = false;
   bool still_out = false;  // no outcome yet, just the wait that its answer has told
   Micros wait = 0;         // full: nothing to this destination for so long; 0: none told
   Micros rtt = 0;
-  std::optional<LimitReport> report;
+  std::optional<LoadReport> report;
 };
-enum class ListKind { delta, full, cached, failed };
-struct ListUpdate {
-  ListKind kind = ListKind::full;
-  std::vector<Endpoint> endpoints;
+enum class EndpointUpdateKind { delta, full, cached, failed };
+struct EndpointsChanged {
+  EndpointUpdateKind kind = EndpointUpdateKind::full;
+  std::vector<EndpointInfo> endpoints;
 };
-struct Wake {};
-using Event = std::variant<Arrival, Resumed, Ailment, Stopping, Gone, Outcome, ListUpdate, Wake>;
+struct TimerFired {};
+using Event = std::variant<Arrival, RecoveredMessage, HealthRecord, ShutdownScheduled, Abandoned,
+                           AttemptOutcome, EndpointsChanged, TimerFired>;
 
 // ---- actions
-struct Send {
+struct SendAttempt {
   std::string id, endpoint;
   Micros timeout = 0;
 };
-struct Cancel {
+struct CancelAttempt {
   std::string id;
   int attempt = 0;
 };
-struct Refuse {
+struct Reject {
   std::string id;
   Micros pause = 0;
 };  // final: handing it in again is harmless
 struct Fail {
   std::string id;
-};                // final: no such promise
-struct Watch {};  // subscribe to membership changes
-struct CloseIdle {
+};                             // final: no such promise
+struct SubscribeEndpoints {};  // subscribe to membership changes
+struct CloseIdleConnections {
   std::string endpoint;
 };
-struct WakeIn {
+struct SetTimer {
   Micros span = 0;
 };
-using Action = std::variant<Send, Cancel, Refuse, Fail, Watch, CloseIdle, WakeIn, Ailment>;
+using Action = std::variant<SendAttempt, CancelAttempt, Reject, Fail, SubscribeEndpoints,
+                            CloseIdleConnections, SetTimer, HealthRecord>;
 
-class Sender {
+class DeliveryScheduler {
  public:
   // The settings have been checked where they were read.
-  Sender(Settings settings, std::uint64_t seed);
-  ~Sender();
+  DeliveryScheduler(Settings settings, std::uint64_t seed);
+  ~DeliveryScheduler();
 
   // All that happened at `now`, in order; answers what to do at the same moment. `now` never goes back.
   std::vector<Action> decide(Micros now, const std::vector<Event>& events);
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -42,12 +42,12 @@
   int overdue = 0;              // calls out far too long, with none answered since they left
 };
 
-struct Dest;
-struct Server {
+struct Destination;
+struct Endpoint {
   std::string id, zone;
-  Dest* dest = nullptr;
-  const Kind* kind = nullptr;
-  EndpointState state = EndpointState::gone;
+  Destination* dest = nullptr;
+  const DestinationKind* kind = nullptr;
+  EndpointState state = EndpointState::removed;
   double weight = 0;
   int out = 0;  // calls out
   Micros used = -kNever;
@@ -57,9 +57,9 @@
 };
 
 struct Message;
-struct Dest {
+struct Destination {
   std::int64_t id = 0;
-  std::vector<Server*> servers;
+  std::vector<Endpoint*> servers;
   std::vector<Message*> held;
   std::deque<Tag> tags;  // one for each held message; the one that is worth most takes the first
   double last_local = -1e18, last_global = -1e18;  // l_prev, g_prev
@@ -71,7 +71,7 @@
 };
 
 struct Attempt {
-  Server* server = nullptr;
+  Endpoint* server = nullptr;
   Micros sent = 0;
   std::uint64_t call = 0, order = 0;
   bool out = true, may_have_run = true;
@@ -84,7 +84,7 @@
   std::string id, key;
   const MessageClass* cls = nullptr;
   int tenant = -1;
-  Dest* dest = nullptr;
+  Destination* dest = nullptr;
   Micros came = 0, handed_in = 0, end_at = 0, not_before = 0, aim = 0;
   std::uint64_t order = 0;
   std::vector<Attempt> attempts;
--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -34,7 +34,7 @@
 }
 
 // "c=notice,d=8000,..."; answers what is wrong, or nothing.
-const char* readFields(const std::string& list, TakenOn& m) {
+const char* readFields(const std::string& list, AcceptedMessage& m) {
   bool timed = false, addressed = false;
   for (std::size_t at = 0; at < list.size();) {
     const std::size_t end = std::min(list.find(',', at), list.size());
@@ -90,16 +90,16 @@
 
 }  // namespace
 
-struct Clients::Session : std::enable_shared_from_this<Session> {
-  Session(Clients& c, tcp::socket s, Connections::Id i, Micros came_after)
+struct ClientServer::Session : std::enable_shared_from_this<Session> {
+  Session(ClientServer& c, tcp::socket s, Connections::Id i, Micros came_after)
       : clients(c), socket(std::move(s)), id(i), waiting(came_after) {}
 
-  Clients& clients;
+  ClientServer& clients;
   tcp::socket socket;
   const Connections::Id id;
   std::string in, out;
   std::size_t discarded = 0;
-  WaitingSince waiting;  // what is unread in the socket
+  QueueAge waiting;  // what is unread in the socket
   Micros heard = 0,
          began = 0;  // sent: the last bytes; the first ones of the request that is read or buffered
   bool open = true, hangs_up = false;
@@ -186,7 +186,7 @@
       return answer("-ERR unknown command");
     if (words.size() != 5)
       return answer("-ERR wrong number of arguments");
-    TakenOn m;
+    AcceptedMessage m;
     if (words[1].find_first_not_of('0') != std::string::npos)
       m.order_key = words[1];
     m.id = words[2];
@@ -248,18 +248,18 @@
   }
 };
 
-Clients::Clients(asio::io_context& io, tcp::acceptor acceptor, Connections& rules, OnPut on_put)
+ClientServer::ClientServer(asio::io_context& io, tcp::acceptor acceptor, Connections& rules, OnPut on_put)
     : acceptor_(std::move(acceptor)), look_(io), deadline_(io), rules_(rules), on_put_(std::move(on_put)) {
   acceptor_.non_blocking(true);
   if (takeIn())
     accept();
 }
 
-Clients::~Clients() {
+ClientServer::~ClientServer() {
   stop();
 }
 
-void Clients::stop() {
+void ClientServer::stop() {
   paused_ = true;
   error_code ignored;
   acceptor_.close(ignored);
@@ -270,20 +270,20 @@
   deadline_.cancel();
 }
 
-void Clients::pauseAccepting() {
+void ClientServer::pauseAccepting() {
   paused_ = true;
   error_code ignored;
   acceptor_.cancel(ignored);
 }
 
-void Clients::resumeAccepting() {
+void ClientServer::resumeAccepting() {
   paused_ = false;
   accept();
 }
 
 // No more connections than there is room for: the others wait in the kernel's queue. Guards against running
 // out of descriptors, which the calls to endpoints need too.
-void Clients::accept() {
+void ClientServer::accept() {
   if (accepting_ || paused_)
     return;
   accepting_ = true;
@@ -300,7 +300,7 @@
 }
 
 // Those that wait in the queue, as far as there is room. False: what came instead is to be tried again later.
-bool Clients::takeIn() {
+bool ClientServer::takeIn() {
   while (rules_.clientFits()) {
     tcp::socket s(acceptor_.get_executor());
     error_code e;
@@ -324,7 +324,7 @@
   return true;
 }
 
-void Clients::accepted(tcp::socket s) {
+void ClientServer::accepted(tcp::socket s) {
   error_code e;
   const tcp::endpoint peer = s.remote_endpoint(e);
   if (e)
@@ -340,7 +340,7 @@
 }
 
 // Looks again soon for what has no event: somebody who has been silent for long enough to go.
-void Clients::lookLater() {
+void ClientServer::lookLater() {
   if (looking_)
     return;
   looking_ = true;
@@ -364,7 +364,7 @@
 }
 
 // Guards against peers that fill the table, or the room for what is read, while clients wait.
-bool Clients::makeRoom(bool for_bytes) {
+bool ClientServer::makeRoom(bool for_bytes) {
   for (int i = 0; i < kLooks; ++i) {
     const Micros now = monotonicNow();
     const auto id = for_bytes ? rules_.nextToGoForBytes(now) : rules_.nextToGo(now);
@@ -381,7 +381,7 @@
 }
 
 // It has sent something that was not read yet: it does not go now.
-bool Clients::unread(Connections::Id id) {
+bool ClientServer::unread(Connections::Id id) {
   error_code e;
   if (sessions_.at(id)->socket.available(e) == 0)
     return false;
@@ -389,14 +389,14 @@
   return true;
 }
 
-void Clients::ended(Connections::Id id) {
+void ClientServer::ended(Connections::Id id) {
   sessions_.erase(id);
   rules_.clientGone(id);
   serveWaiting();
   accept();
 }
 
-void Clients::serveWaiting() {
+void ClientServer::serveWaiting() {
   if (serving_)
     return;
   serving_ = true;
@@ -407,7 +407,7 @@
   serving_ = false;
 }
 
-void Clients::watchDeadlines() {
+void ClientServer::watchDeadlines() {
   const Micros next = rules_.nextClientDeadline();
   if (next >= watched_)
     return;  // the timer looks earlier
@@ -430,14 +430,14 @@
   });
 }
 
-void Clients::budgetChanged() {
+void ClientServer::budgetChanged() {
   if (rules_.tooMany())
     lookLater();
   serveWaiting();
   accept();
 }
 
-void Clients::drain() {
+void ClientServer::drain() {
   for (const Connections::Id id : rules_.drain(monotonicNow()))
     if (!unread(id))
       sessions_.at(id)->close();
--- a/src/network/client_server.h
+++ b/src/network/client_server.h
@@ -16,17 +16,17 @@
 
 namespace delivery {
 
-class Clients {
+class ClientServer {
  public:
   using Reply = std::function<void(const std::string&)>;  // one RESP line without its end, called once
   // What a client hands in. Answers by the reply, now or later.
-  using OnPut = std::function<void(TakenOn, Reply)>;
+  using OnPut = std::function<void(AcceptedMessage, Reply)>;
 
-  Clients(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor acceptor, Connections& rules,
-          OnPut on_put);
-  ~Clients();
-  Clients(const Clients&) = delete;
-  Clients& operator=(const Clients&) = delete;
+  ClientServer(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor acceptor, Connections& rules,
+               OnPut on_put);
+  ~ClientServer();
+  ClientServer(const ClientServer&) = delete;
+  ClientServer& operator=(const ClientServer&) = delete;
 
   // PING gets no yes; closes connections between requests, and those that still come or are in one once
   // answered.
@@ -57,7 +57,7 @@
   OnPut on_put_;
   std::map<Connections::Id, std::shared_ptr<Session>> sessions_;
   std::size_t unanswered_ = 0;
-  WaitingSince queue_{INT64_MIN / 4};     // the kernel's queue of connections; at first there is no telling
+  QueueAge queue_{INT64_MIN / 4};         // the kernel's queue of connections; at first there is no telling
   Micros watched_ = Connections::kNever;  // the deadline that the timer waits for
   bool accepting_ = false, paused_ = false, looking_ = false, serving_ = false;
   char piece_[16384];  // what was just read, for all connections
--- a/src/network/connections.cpp
+++ b/src/network/connections.cpp
@@ -93,7 +93,7 @@
   t.all.erase(it);
 }
 
-// ---- Clients
+// ---- ClientServer
 
 Connections::Id Connections::clientCame(const std::string& peer, Micros now) {
   const Id id = ++next_id_;
--- a/src/network/connections.h
+++ b/src/network/connections.h
@@ -33,8 +33,8 @@
   int slots = 0;
 };
 
-// `beside_older`: a process that only ends its calls shares the descriptors. Throws BadInput that names the
-// figure when the limits can't hold what is set aside.
+// `beside_older`: a process that only ends its calls shares the descriptors. Throws InvalidInput that names
+// the figure when the limits can't hold what is set aside.
 Budget budgetOf(const ProcessLimits& limits, bool beside_older);
 
 class Connections {
@@ -54,7 +54,7 @@
   void setBudget(const Budget& budget) { budget_ = budget; }
   const Budget& budget() const { return budget_; }
 
-  // Clients. Each event names a connection by the number that it got when it came.
+  // ClientServer. Each event names a connection by the number that it got when it came.
   bool clientFits() const { return count(clients_) < budget_.clients; }
   bool tooMany() const { return count(clients_) > budget_.clients; }
   Id clientCame(const std::string& peer, Micros now);
--- a/src/network/control_server.cpp
+++ b/src/network/control_server.cpp
@@ -18,10 +18,10 @@
 constexpr std::chrono::milliseconds kRetryAccept{20};
 }  // namespace
 
-struct Control::Session : std::enable_shared_from_this<Session> {
-  Session(Control& c, tcp::socket s, Connections::Id i) : control(c), socket(std::move(s)), id(i) {}
+struct ControlServer::Session : std::enable_shared_from_this<Session> {
+  Session(ControlServer& c, tcp::socket s, Connections::Id i) : control(c), socket(std::move(s)), id(i) {}
 
-  Control& control;
+  ControlServer& control;
   tcp::socket socket;
   const Connections::Id id;
   std::string in, out;
@@ -82,17 +82,18 @@
   }
 };
 
-Control::Control(asio::io_context& io, const tcp::endpoint& listen, Connections& rules, OnCall on_call)
+ControlServer::ControlServer(asio::io_context& io, const tcp::endpoint& listen, Connections& rules,
+                             OnCall on_call)
     : acceptor_(io, listen), pause_(io), deadline_(io), rules_(rules), on_call_(std::move(on_call)) {
   accept();
 }
 
-Control::~Control() {
+ControlServer::~ControlServer() {
   for (const auto& [id, s] : sessions_)
     s->end();
 }
 
-void Control::accept() {
+void ControlServer::accept() {
   acceptor_.async_accept([this](error_code e, tcp::socket s) {
     if (e == asio::error::operation_aborted)
       return;
@@ -117,7 +118,7 @@
   });
 }
 
-void Control::watchDeadlines() {
+void ControlServer::watchDeadlines() {
   const Micros next = rules_.nextCallerDeadline();
   if (watching_ || next == Connections::kNever)
     return;
--- a/src/network/control_server.h
+++ b/src/network/control_server.h
@@ -14,15 +14,15 @@
 
 namespace delivery {
 
-class Control {
+class ControlServer {
  public:
   using OnCall = std::function<std::string(const std::string& line)>;  // the reply, without its end
 
-  Control(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Connections& rules,
-          OnCall on_call);  // throws when it can't listen
-  ~Control();
-  Control(const Control&) = delete;
-  Control& operator=(const Control&) = delete;
+  ControlServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Connections& rules,
+                OnCall on_call);  // throws when it can't listen
+  ~ControlServer();
+  ControlServer(const ControlServer&) = delete;
+  ControlServer& operator=(const ControlServer&) = delete;
 
  private:
   struct Session;
--- a/src/network/discovery_client.cpp
+++ b/src/network/discovery_client.cpp
@@ -13,7 +13,8 @@
 constexpr Micros kSilence = 1'500'000;  // an answer that is later than its wait by this won't come
 constexpr Micros kConnect = 1'000'000;  // the agent is on this machine
 // After a call that failed: twice as long each time, within half and one and a half of it by chance, so that
-// a fleet does not come back as one. News counts as told after 6 s at the latest, so it stays below.
+// a fleet does not come back as one. EndpointListUpdate counts as told after 6 s at the latest, so it stays
+// below.
 constexpr Micros kPause = 100'000, kLongestPause = 3'200'000;
 constexpr Micros kNoticeLimit = 500'000;  // for an answer that comes at once
 constexpr Micros kNoticePause = 50'000;
@@ -23,19 +24,19 @@
   return oneOf<EndpointState>(text(e, "status"),
                               {{"Ready", EndpointState::ready},
                                {"Terminating", EndpointState::draining},
-                               {"Gone", EndpointState::gone}},
+                               {"Gone", EndpointState::removed}},
                               "status");
 }
 
 }  // namespace
 
-EndpointList::News EndpointList::read(const json& answer) {
+EndpointList::EndpointListUpdate EndpointList::read(const json& answer) {
   if (!answer.is_object())
     bad("the list is not an object");
   const std::int64_t index = integer(answer, "index");
   const bool whole = truth(answer, "snapshot", false);
-  News news;
-  news.kind = whole ? ListKind::full : ListKind::delta;
+  EndpointListUpdate news;
+  news.kind = whole ? EndpointUpdateKind::full : EndpointUpdateKind::delta;
   std::map<std::string, json> changed;
   for (const json& e : array(answer, "endpoints")) {
     if (!e.is_object())
@@ -70,10 +71,10 @@
   return {{"index", index_}, {"snapshot", true}, {"endpoints", std::move(list)}};
 }
 
-Agent::Agent(asio::io_context& io, tcp::endpoint peer, std::string host)
+DiscoveryClient::DiscoveryClient(asio::io_context& io, tcp::endpoint peer, std::string host)
     : io_(io), peer_(std::move(peer)), host_(std::move(host)), timer_(io) {}
 
-void Agent::ask(HttpRequest request, Micros limit, HttpConnection::Done done) {
+void DiscoveryClient::ask(HttpRequest request, Micros limit, HttpConnection::Done done) {
   if (stopped_)
     return;
   if (!connection_ || !connection_->reusable())
@@ -82,7 +83,7 @@
                         std::move(done));
 }
 
-void Agent::later(Micros pause, std::function<void()> then) {
+void DiscoveryClient::later(Micros pause, std::function<void()> then) {
   connection_.reset();
   if (stopped_)
     return;
@@ -93,31 +94,31 @@
   });
 }
 
-void Agent::moveTo(tcp::endpoint peer, std::string host) {
+void DiscoveryClient::moveTo(tcp::endpoint peer, std::string host) {
   connection_.reset();
   timer_.cancel();
   peer_ = std::move(peer);
   host_ = std::move(host);
 }
 
-void Agent::stop() {
+void DiscoveryClient::stop() {
   stopped_ = true;
   connection_.reset();
   timer_.cancel();
 }
 
-void Watcher::moveTo(tcp::endpoint peer, std::string host) {
+void EndpointWatch::moveTo(tcp::endpoint peer, std::string host) {
   agent_.moveTo(std::move(peer), std::move(host));
   failures_ = 0;  // those of the old one say nothing of the new
   start(-1);
 }
 
-void Watcher::start(std::int64_t from) {
+void EndpointWatch::start(std::int64_t from) {
   from_ = from;
   ask();
 }
 
-void Watcher::ask() {
+void EndpointWatch::ask() {
   HttpRequest r;
   r.method = "GET";
   r.target = "/v1/endpoints";
@@ -143,27 +144,27 @@
 }
 
 // The last list stays in force meanwhile.
-void Watcher::askLater() {
+void EndpointWatch::askLater() {
   if (failures_++ == 0)
     std::cerr << "discovery: a call failed, asking again with growing pauses\n";
   const Micros pause = std::min(kLongestPause, kPause << std::min(failures_ - 1, 8));
   agent_.later(std::uniform_int_distribution<Micros>(pause / 2, pause * 3 / 2)(random_), [this] { ask(); });
 }
 
-void Notices::owe(const std::string& id, const Notice& notice) {
+void CompletionNotifier::owe(const std::string& id, const CompletionNotice& notice) {
   owed_.emplace_back(id, notice);
   if (out_ == 0 && !waiting_)
     send();
 }
 
-void Notices::moveTo(tcp::endpoint peer, std::string host) {
+void CompletionNotifier::moveTo(tcp::endpoint peer, std::string host) {
   agent_.moveTo(std::move(peer), std::move(host));
   out_ = 0;  // told once more: that does no harm
   waiting_ = false;
   send();
 }
 
-void Notices::send() {
+void CompletionNotifier::send() {
   if (owed_.empty())
     return;
   out_ = std::min(owed_.size(), most_);
--- a/src/network/discovery_client.h
+++ b/src/network/discovery_client.h
@@ -16,18 +16,19 @@
 namespace delivery {
 
 struct ListedEndpoint {
-  Endpoint endpoint;
+  EndpointInfo endpoint;
   std::string address;
 };
 
 // The list as discovery last told it, in discovery's form.
 class EndpointList {
  public:
-  struct News {
-    ListKind kind = ListKind::delta;
+  struct EndpointListUpdate {
+    EndpointUpdateKind kind = EndpointUpdateKind::delta;
     std::vector<ListedEndpoint> entries;
   };
-  News read(const json& answer);  // throws BadInput when it can't be read; then nothing has changed
+  EndpointListUpdate read(
+      const json& answer);  // throws InvalidInput when it can't be read; then nothing has changed
   json all() const;
   std::int64_t index() const { return index_; }
   bool empty() const { return entries_.empty(); }
@@ -39,9 +40,9 @@
 };
 
 // The agent on this machine: one connection, made anew when the old one is no longer good.
-class Agent {
+class DiscoveryClient {
  public:
-  Agent(boost::asio::io_context& io, tcp::endpoint peer, std::string host);
+  DiscoveryClient(boost::asio::io_context& io, tcp::endpoint peer, std::string host);
   void ask(HttpRequest request, Micros limit, HttpConnection::Done done);
   void later(Micros pause, std::function<void()> then);  // drops the connection, goes on after the pause
   void moveTo(tcp::endpoint peer, std::string host);     // what is under way is called off and never answered
@@ -56,10 +57,10 @@
   bool stopped_ = false;
 };
 
-class Watcher {
+class EndpointWatch {
  public:
   using OnAnswer = std::function<std::int64_t(const json&)>;  // answers the version from which to go on
-  Watcher(Agent agent, std::uint64_t seed, OnAnswer on_answer)
+  EndpointWatch(DiscoveryClient agent, std::uint64_t seed, OnAnswer on_answer)
       : agent_(std::move(agent)), on_answer_(std::move(on_answer)), random_(seed) {}
   void start(std::int64_t from);
   void moveTo(tcp::endpoint peer, std::string host);  // asks there for the whole list, then watches
@@ -69,7 +70,7 @@
   void ask();
   void askLater();
 
-  Agent agent_;
+  DiscoveryClient agent_;
   OnAnswer on_answer_;
   std::mt19937_64 random_;
   std::int64_t from_ = -1;
@@ -77,11 +78,12 @@
 };
 
 // Sends notices until each has been answered, however often that takes.
-class Notices {
+class CompletionNotifier {
  public:
   using OnTold = std::function<void(const std::string& id)>;
-  Notices(Agent agent, OnTold on_told) : agent_(std::move(agent)), on_told_(std::move(on_told)) {}
-  void owe(const std::string& id, const Notice& notice);
+  CompletionNotifier(DiscoveryClient agent, OnTold on_told)
+      : agent_(std::move(agent)), on_told_(std::move(on_told)) {}
+  void owe(const std::string& id, const CompletionNotice& notice);
   void moveTo(tcp::endpoint peer, std::string host);
   void stop() { agent_.stop(); }
   std::size_t owed() const { return owed_.size(); }
@@ -89,9 +91,9 @@
  private:
   void send();
 
-  Agent agent_;
+  DiscoveryClient agent_;
   OnTold on_told_;
-  std::deque<std::pair<std::string, Notice>> owed_;
+  std::deque<std::pair<std::string, CompletionNotice>> owed_;
   std::size_t out_ = 0;    // the first so many are being told
   std::size_t most_ = 64;  // at once; one by one after a batch that could not be read
   bool waiting_ = false;
--- a/src/network/endpoint_pool.cpp
+++ b/src/network/endpoint_pool.cpp
@@ -15,30 +15,30 @@
 constexpr std::size_t kBodyLimit = 65536;
 constexpr Micros kLongestWait = 24LL * 3600 * 1000000;
 
-// The Result of each answer, by the protocol's table. What is not in it was at least answered: an error. One
-// that breaks off is not to be read, and may have run, but for a first line that says 200.
-Result resultOf(const HttpAnswer& a) {
+// The AttemptResult of each answer, by the protocol's table. What is not in it was at least answered: an
+// error. One that breaks off is not to be read, and may have run, but for a first line that says 200.
+AttemptResult resultOf(const HttpAnswer& a) {
   if (a.how == Exchanged::not_written)
-    return Result::connect_failed;
+    return AttemptResult::connect_failed;
   if (a.how == Exchanged::broken)
-    return Result::reset;
+    return AttemptResult::reset;
   if (a.how == Exchanged::timed_out)
-    return Result::timeout;
+    return AttemptResult::timeout;
   if (!a.whole && a.status != 200)
-    return Result::error;
+    return AttemptResult::error;
   switch (a.status) {
     case 200:
-      return Result::ok;
+      return AttemptResult::ok;
     case 429:
-      return Result::full;
+      return AttemptResult::throttled;
     case 503:
-      return a.field("x-egress-full") ? Result::not_sent : Result::full;
+      return a.field("x-egress-full") ? AttemptResult::not_sent : AttemptResult::throttled;
     case 504:
-      return Result::not_sent;
+      return AttemptResult::not_sent;
     case 410:
-      return Result::not_sent;
+      return AttemptResult::not_sent;
     default:
-      return Result::error;
+      return AttemptResult::error;
   }
 }
 
@@ -59,7 +59,7 @@
   return static_cast<Micros>(std::ceil(std::min(*seconds * 1e6, static_cast<double>(kLongestWait))));
 }
 
-std::optional<LimitReport> reportOf(const HttpAnswer& a) {
+std::optional<LoadReport> reportOf(const HttpAnswer& a) {
   const std::string* told = a.field("x-pressure");
   if (!told)
     return std::nullopt;
@@ -69,13 +69,13 @@
       return 0;
     return numberIn(told->substr(at + name.size() + 1)).value_or(0);
   };
-  return LimitReport{value("x0"), value("x1")};
+  return LoadReport{value("x0"), value("x1")};
 }
 
 }  // namespace
 
-Endpoints::Endpoints(asio::io_context& io, Limits limits, Connections& rules, OnOutcome on_outcome,
-                     OnHeld on_held)
+EndpointPool::EndpointPool(asio::io_context& io, Limits limits, Connections& rules, OnOutcome on_outcome,
+                           OnHeld on_held)
     : io_(io),
       limits_(limits),
       rules_(rules),
@@ -83,7 +83,7 @@
       on_held_(std::move(on_held)),
       sweeper_(io) {}
 
-void Endpoints::address(const std::string& endpoint, const std::string& address, bool apart) {
+void EndpointPool::address(const std::string& endpoint, const std::string& address, bool apart) {
   Peer& known = peers_[endpoint];
   known.apart = apart;
   if (known.address == address)
@@ -92,7 +92,7 @@
   closeIdle(endpoint);
 }
 
-void Endpoints::call(const TakenOn& m, int attempt, const std::string& endpoint, Deadline until) {
+void EndpointPool::call(const AcceptedMessage& m, int attempt, const std::string& endpoint, Deadline until) {
   const CallId id{m.id, attempt};
   Call& call = calls_[id];
   call.endpoint = endpoint;
@@ -105,7 +105,7 @@
 }
 
 // Reuse first; else a connection is opened if the endpoint and the budget have room for one more.
-bool Endpoints::start(const CallId& id, Call& call) {
+bool EndpointPool::start(const CallId& id, Call& call) {
   auto& idle = idle_[call.endpoint];
   while (!idle.empty() && !call.connection) {  // the freshest first
     if (idle.back().connection->reusable()) {
@@ -129,7 +129,7 @@
       call.connection =
           std::make_unique<HttpConnection>(io_, parseAddress(call.address), call.address, kBodyLimit);
     } catch (const std::invalid_argument&) {
-      report(id, Result::connect_failed, call.began);
+      report(id, AttemptResult::connect_failed, call.began);
       calls_.erase(id);
       return true;
     }
@@ -144,7 +144,7 @@
   }
   const Micros waited = call.patience ? monotonicNow() - call.began : 0;
   call.patience.reset();
-  const TakenOn& m = call.message;
+  const AcceptedMessage& m = call.message;
   HttpRequest r;
   r.method = "POST";
   r.target = "/hook";
@@ -160,7 +160,7 @@
 }
 
 // For as long as a connection may take to come up: one that never did has the same outcome.
-void Endpoints::wait(const CallId& id, Call& call) {
+void EndpointPool::wait(const CallId& id, Call& call) {
   waiting_.push_back(id);
   call.patience = std::make_unique<asio::steady_timer>(io_);
   call.patience->expires_after(std::chrono::microseconds(
@@ -171,12 +171,12 @@
       return;
     const Micros began = it->second.began;
     calls_.erase(it);
-    report(id, Result::connect_failed, began);
+    report(id, AttemptResult::connect_failed, began);
   });
 }
 
 // Those that wait, in their order, as far as there are connections now.
-void Endpoints::startWaiting() {
+void EndpointPool::startWaiting() {
   std::deque<CallId> waiting;
   waiting.swap(waiting_);
   for (const CallId& id : waiting) {
@@ -189,27 +189,27 @@
 }
 
 // Those that wait for a connection, whose connection comes up, and that are half written: none has run.
-void Endpoints::withdrawUnwritten(const std::function<bool(const Call&)>& which) {
+void EndpointPool::withdrawUnwritten(const std::function<bool(const Call&)>& which) {
   for (auto it = calls_.begin(); it != calls_.end();) {
     Call& c = it->second;
     if ((c.connection && c.connection->written()) || !which(c)) {
       ++it;
       continue;
     }
-    report(it->first, Result::not_sent, c.began);
+    report(it->first, AttemptResult::not_sent, c.began);
     letGo(c);
     it = calls_.erase(it);  // closes the connection
   }
 }
 
-std::vector<std::string> Endpoints::known() const {
+std::vector<std::string> EndpointPool::known() const {
   std::vector<std::string> names;
   for (const auto& [endpoint, peer] : peers_)
     names.push_back(endpoint);
   return names;
 }
 
-void Endpoints::drained(const std::string& endpoint) {
+void EndpointPool::drained(const std::string& endpoint) {
   withdrawUnwritten([&](const Call& c) { return c.endpoint == endpoint; });
   if (on_held_)
     on_held_(endpoint, std::nullopt);
@@ -217,7 +217,7 @@
 }
 
 // A wait holds for calls that the module decided on before it was told, too.
-void Endpoints::toldWait(const std::string& endpoint, std::int64_t destination) {
+void EndpointPool::toldWait(const std::string& endpoint, std::int64_t destination) {
   const bool apart = peers_[endpoint].apart;
   withdrawUnwritten(
       [&](const Call& c) { return apart ? c.endpoint == endpoint : c.destination == destination; });
@@ -225,7 +225,7 @@
     on_held_(endpoint, destination);
 }
 
-void Endpoints::letGo(Call& call) {
+void EndpointPool::letGo(Call& call) {
   if (call.on == Call::On::opening)
     rules_.failedToOpen(call.endpoint);
   if (call.on == Call::On::open)
@@ -233,7 +233,7 @@
   call.on = Call::On::none;
 }
 
-void Endpoints::over(const CallId& id, const HttpAnswer& answer) {
+void EndpointPool::over(const CallId& id, const HttpAnswer& answer) {
   auto it = calls_.find(id);
   if (it == calls_.end())
     return;
@@ -244,21 +244,22 @@
       wait(id, it->second);
     return;
   }
-  Outcome o;
+  AttemptOutcome o;
   o.id = id.first;
   o.attempt = id.second;
   o.result = resultOf(answer);
-  if (o.result == Result::timeout && it->second.called_off)
-    o.result = Result::cancelled;
+  if (o.result == AttemptResult::timeout && it->second.called_off)
+    o.result = AttemptResult::cancelled;
   o.finished = answer.how == Exchanged::answered && (answer.status == 200 || answer.status == 410);
-  if (o.result == Result::full)
+  if (o.result == AttemptResult::throttled)
     o.wait = waitOf(answer);
   else
     headOf(id, answer);  // cut off, or late: it may have run, and told a wait all the same
   o.rtt = std::max<Micros>(1, monotonicNow() - it->second.began);
   o.report = reportOf(answer);
   // The module keeps its own count of idle connections: one is kept after the same outcomes as there.
-  const bool kept = o.result == Result::ok || o.result == Result::error || o.result == Result::full;
+  const bool kept = o.result == AttemptResult::ok || o.result == AttemptResult::error ||
+                    o.result == AttemptResult::throttled;
   Call call = std::move(it->second);
   calls_.erase(it);
   if (kept)
@@ -271,14 +272,14 @@
 }
 
 // The body may be late, or never end: a wait counts from here on, not from the outcome.
-void Endpoints::headOf(const CallId& id, const HttpAnswer& head) {
+void EndpointPool::headOf(const CallId& id, const HttpAnswer& head) {
   const auto it = calls_.find(id);
   const Micros wait = it == calls_.end() ? 0 : waitOf(head);
   if (wait <= 0 || it->second.wait_heard)
     return;
   it->second.wait_heard = true;
   toldWait(it->second.endpoint, it->second.destination);
-  Outcome o;
+  AttemptOutcome o;
   o.id = id.first;
   o.attempt = id.second;
   o.still_out = true;
@@ -286,11 +287,11 @@
   on_outcome_(std::move(o));
 }
 
-void Endpoints::report(const CallId& id, Result result, Micros began) {
+void EndpointPool::report(const CallId& id, AttemptResult result, Micros began) {
   untold_.insert(id);
   asio::post(io_, [this, id, result, began] {
     untold_.erase(id);
-    Outcome o;
+    AttemptOutcome o;
     o.id = id.first;
     o.attempt = id.second;
     o.result = result;
@@ -300,7 +301,7 @@
 }
 
 // What has been written may have been answered: its connection tells that before it is closed.
-bool Endpoints::cancel(const std::string& id, int attempt) {
+bool EndpointPool::cancel(const std::string& id, int attempt) {
   auto it = calls_.find({id, attempt});
   if (it == calls_.end())
     return untold_.count({id, attempt}) > 0;
@@ -310,14 +311,14 @@
     call.connection->callOff();
     return true;
   }
-  report(it->first, Result::not_sent, call.began);
+  report(it->first, AttemptResult::not_sent, call.began);
   letGo(call);
   calls_.erase(it);
   startWaiting();
   return true;
 }
 
-std::vector<Endpoints::CallId> Endpoints::calls() const {
+std::vector<EndpointPool::CallId> EndpointPool::calls() const {
   std::vector<CallId> out;
   for (const auto& [id, call] : calls_)
     out.push_back(id);
@@ -325,13 +326,13 @@
   return out;
 }
 
-void Endpoints::closeAllIdle() {
+void EndpointPool::closeAllIdle() {
   for (const auto& [endpoint, idle] : idle_)
     rules_.idleClosed(endpoint, idle.size());
   idle_.clear();
 }
 
-void Endpoints::closeIdle(const std::string& endpoint) {
+void EndpointPool::closeIdle(const std::string& endpoint) {
   auto it = idle_.find(endpoint);
   if (it == idle_.end())
     return;
@@ -339,18 +340,18 @@
   idle_.erase(it);
 }
 
-void Endpoints::closeOldest(const std::string& endpoint) {
+void EndpointPool::closeOldest(const std::string& endpoint) {
   idle_.at(endpoint).pop_front();
   rules_.idleClosed(endpoint);
 }
 
-void Endpoints::budgetChanged() {
+void EndpointPool::budgetChanged() {
   while (const auto endpoint = rules_.idleTooMany())
     closeOldest(*endpoint);
   startWaiting();
 }
 
-void Endpoints::keep(Call& call) {
+void EndpointPool::keep(Call& call) {
   if (!call.connection->reusable() || call.address != peers_[call.endpoint].address)
     return;
   if (!rules_.mayKeep()) {
@@ -366,7 +367,7 @@
 }
 
 // Closes what has idled almost as long as an endpoint allows. Guards against a call that crosses the close.
-void Endpoints::sweep() {
+void EndpointPool::sweep() {
   if (sweeping_ || limits_.conn_idle <= 0)
     return;
   const Micros most = limits_.conn_idle - limits_.conn_idle / 20;
--- a/src/network/endpoint_pool.h
+++ b/src/network/endpoint_pool.h
@@ -17,22 +17,22 @@
 
 namespace delivery {
 
-class Endpoints {
+class EndpointPool {
  public:
   using CallId = std::pair<std::string, int>;  // message and attempt
-  using OnOutcome = std::function<void(Outcome)>;
+  using OnOutcome = std::function<void(AttemptOutcome)>;
   struct Limits {
     Micros dial_timeout = 0, conn_idle = 0;
   };
   // A wait was told, or a drain, where no destination is named: another process may have calls there, too.
   using OnHeld = std::function<void(const std::string& endpoint, std::optional<std::int64_t> destination)>;
-  Endpoints(boost::asio::io_context& io, Limits limits, Connections& rules, OnOutcome on_outcome,
-            OnHeld on_held = {});
+  EndpointPool(boost::asio::io_context& io, Limits limits, Connections& rules, OnOutcome on_outcome,
+               OnHeld on_held = {});
 
   // As listed, new or changed. `apart`: a route of its own, which no wait of another route holds for.
   void address(const std::string& endpoint, const std::string& address, bool apart = false);
   // `until`: no answer is waited for any longer, connecting included.
-  void call(const TakenOn& m, int attempt, const std::string& endpoint, Deadline until);
+  void call(const AcceptedMessage& m, int attempt, const std::string& endpoint, Deadline until);
   // False: no such call is out from here. What its answer has told by then still counts.
   bool cancel(const std::string& id, int attempt);
   void closeIdle(const std::string& endpoint);
@@ -60,7 +60,7 @@
     std::unique_ptr<HttpConnection> connection;
     std::unique_ptr<boost::asio::steady_timer> patience;  // while it waits for one
     std::string endpoint, address;
-    TakenOn message;
+    AcceptedMessage message;
     std::int64_t destination = 0;
     Micros began = 0;
     Deadline until;
@@ -74,7 +74,7 @@
   void headOf(const CallId& id, const HttpAnswer& head);
   void letGo(Call& call);  // its connection's place in the budget
   void over(const CallId& id, const HttpAnswer& answer);
-  void report(const CallId& id, Result result, Micros began);
+  void report(const CallId& id, AttemptResult result, Micros began);
   void keep(Call& call);
   void closeOldest(const std::string& endpoint);
   void sweep();
--- a/src/network/queue_age.h
+++ b/src/network/queue_age.h
@@ -12,9 +12,9 @@
 // A client waits so long for an answer: what it sent earlier, it does not wait for any more.
 constexpr Micros kClientWaits = 400'000;
 
-class WaitingSince {
+class QueueAge {
  public:
-  explicit WaitingSince(Micros nothing_before) : since_(nothing_before) {}
+  explicit QueueAge(Micros nothing_before) : since_(nothing_before) {}
   void seenEmpty() { since_ = kAsItComes; }  // and watched: what comes is seen as it comes
   void seenFull(Micros now) { since_ = std::min(since_, now); }
   void taken(Micros now) { since_ = now; }  // all of it: what is there next came later
--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -17,8 +17,9 @@
 
 }  // namespace
 
-Host::Host(asio::io_context& io, Settings settings, std::uint64_t seed, Journal& journal,
-           Endpoints& endpoints, Notices& notices, CancelElsewhere cancel_elsewhere)
+DecisionDriver::DecisionDriver(asio::io_context& io, Settings settings, std::uint64_t seed, Journal& journal,
+                               EndpointPool& endpoints, CompletionNotifier& notices,
+                               CancelElsewhere cancel_elsewhere)
     : io_(io),
       settings_(settings),
       sender_(std::move(settings), seed),
@@ -29,7 +30,7 @@
       turn_timer_(io),
       wake_timer_(io) {}
 
-void Host::recover(const json& known, const std::set<CallId>& out, Micros began, bool waits_hold) {
+void DecisionDriver::recover(const json& known, const std::set<CallId>& out, Micros began, bool waits_hold) {
   const Journal::Recovered& r = journal_.recovered();
   // The newer of the two lists: a drain that was heard before the restart still counts.
   json list = known;
@@ -37,11 +38,11 @@
   if (own.is_object() && (!list.is_object() || number(own, "index", -1) >= number(list, "index", -1)))
     list = own;
   if (list.is_object() && !list.empty()) {
-    EndpointList::News news = list_.read(list);
-    news.kind = ListKind::cached;
+    EndpointList::EndpointListUpdate news = list_.read(list);
+    news.kind = EndpointUpdateKind::cached;
     takeList(news);
   }
-  for (Ailment a : r.ailments) {
+  for (HealthRecord a : r.ailments) {
     if (!waits_hold)
       a.wait_until = 0;
     add(std::move(a));
@@ -53,7 +54,7 @@
     }
     Held& h = held_[e.message.id];
     h.message = e.message;
-    Resumed m;
+    RecoveredMessage m;
     m.restarted = !waits_hold;
     m.message.id = e.message.id;
     m.message.message_class = e.message.message_class;
@@ -66,11 +67,11 @@
       const CallId call{m.message.id, static_cast<int>(m.attempts.size())};
       const bool still_out = !a.never_ran && out.count(call) > 0;
       if (still_out && !list_.has(a.endpoint)) {  // it left the list: its outcome and its wait still count
-        Endpoint gone;
+        EndpointInfo gone;
         gone.id = a.endpoint;
         gone.destination = e.message.destination;
-        gone.state = EndpointState::gone;
-        add(ListUpdate{ListKind::delta, {gone}});
+        gone.state = EndpointState::removed;
+        add(EndpointsChanged{EndpointUpdateKind::delta, {gone}});
       }
       h.attempts.push_back(a.endpoint);
       m.attempts.push_back({a.endpoint, a.sent, !a.never_ran, still_out});
@@ -82,19 +83,19 @@
   journal_.forgetRecovered();
 }
 
-std::int64_t Host::list(const json& answer) {
-  const EndpointList::News news = list_.read(answer);
-  if (!news.entries.empty() || news.kind != ListKind::delta) {
+std::int64_t DecisionDriver::list(const json& answer) {
+  const EndpointList::EndpointListUpdate news = list_.read(answer);
+  if (!news.entries.empty() || news.kind != EndpointUpdateKind::delta) {
     journal_.listed(list_.all().dump());
     takeList(news);  // sends are made in turns alone, so none goes before the module has heard this
   }
   return list_.index();
 }
 
-void Host::takeList(const EndpointList::News& news) {
-  ListUpdate u;
+void DecisionDriver::takeList(const EndpointList::EndpointListUpdate& news) {
+  EndpointsChanged u;
   u.kind = news.kind;
-  if (news.kind != ListKind::delta)  // what a whole list leaves out is gone
+  if (news.kind != EndpointUpdateKind::delta)  // what a whole list leaves out is gone
     for (const std::string& endpoint : endpoints_.known())
       if (!list_.has(endpoint)) {
         endpoints_.closeIdle(endpoint);
@@ -103,12 +104,12 @@
   for (const ListedEndpoint& l : news.entries) {
     u.endpoints.push_back(l.endpoint);
     destinations_.insert(l.endpoint.destination);
-    const bool apart = std::any_of(settings_.kinds.begin(), settings_.kinds.end(), [&](const Kind& k) {
-      return k.name == l.endpoint.kind && k.routes_apart;
-    });
-    if (l.endpoint.state != EndpointState::gone)
+    const bool apart =
+        std::any_of(settings_.kinds.begin(), settings_.kinds.end(),
+                    [&](const DestinationKind& k) { return k.name == l.endpoint.kind && k.routes_apart; });
+    if (l.endpoint.state != EndpointState::removed)
       endpoints_.address(l.endpoint.id, l.address, apart);
-    if (l.endpoint.state == EndpointState::gone)
+    if (l.endpoint.state == EndpointState::removed)
       endpoints_.closeIdle(l.endpoint.id);
     if (l.endpoint.state != EndpointState::ready)
       endpoints_.drained(l.endpoint.id);
@@ -116,7 +117,7 @@
   add(std::move(u));
 }
 
-void Host::put(TakenOn m, Clients::Reply reply) {
+void DecisionDriver::put(AcceptedMessage m, ClientServer::Reply reply) {
   if (std::none_of(settings_.classes.begin(), settings_.classes.end(),
                    [&](const MessageClass& c) { return c.name == m.message_class; }))
     return reply("-ERR unknown class");
@@ -144,7 +145,7 @@
   add(std::move(a));
 }
 
-void Host::retire() {
+void DecisionDriver::retire() {
   if (!events_.empty())
     turn();
   journal_.close();
@@ -154,7 +155,7 @@
   wake_timer_.cancel();
 }
 
-void Host::outcome(Outcome o) {
+void DecisionDriver::outcome(AttemptOutcome o) {
   auto it = held_.find(o.id);
   // One that another process heard: this one's calls heed its wait, too.
   if (o.wait > 0 && it != held_.end() && o.attempt < static_cast<int>(it->second.attempts.size()))
@@ -166,8 +167,8 @@
     if (o.finished) {
       journal_.over(o.id);
       held_.erase(it);
-    } else if (o.result == Result::full || o.result == Result::connect_failed ||
-               o.result == Result::not_sent) {
+    } else if (o.result == AttemptResult::throttled || o.result == AttemptResult::connect_failed ||
+               o.result == AttemptResult::not_sent) {
       journal_.neverRan(o.id, static_cast<std::size_t>(o.attempt));
     }
   }
@@ -175,15 +176,15 @@
 }
 
 // Written with the next turn: until then a restart would tell it once more, which does no harm.
-void Host::told(const std::string& id) {
+void DecisionDriver::told(const std::string& id) {
   journal_.over(id);
 }
 
-void Host::stopAt(Micros at) {
-  add(Stopping{at});
+void DecisionDriver::stopAt(Micros at) {
+  add(ShutdownScheduled{at});
 }
 
-void Host::add(Event e) {
+void DecisionDriver::add(Event e) {
   if (retired_)
     return;
   events_.push_back(std::move(e));
@@ -205,7 +206,7 @@
   });
 }
 
-void Host::turn() {
+void DecisionDriver::turn() {
   turn_due_ = false;
   turn_timer_.cancel();
   last_turn_ = std::max(last_turn_ + 1, monotonicNow());
@@ -215,20 +216,20 @@
 }
 
 // First the refusals of what has just come, then the journal, then all that it promises.
-void Host::carryOut(const std::vector<Action>& actions) {
+void DecisionDriver::carryOut(const std::vector<Action>& actions) {
   for (const Action& a : actions) {
-    if (const auto* r = std::get_if<Refuse>(&a))
+    if (const auto* r = std::get_if<Reject>(&a))
       end(r->id, true, r->pause);
     if (const auto* f = std::get_if<Fail>(&a))
       end(f->id, false, 0);
-    if (const auto* h = std::get_if<Ailment>(&a))
+    if (const auto* h = std::get_if<HealthRecord>(&a))
       journal_.ailing(*h);
   }
   for (const std::string& id : fresh_)
     journal_.accepted(held_.at(id).message);
-  std::vector<std::pair<const Send*, int>> sends;
+  std::vector<std::pair<const SendAttempt*, int>> sends;
   for (const Action& a : actions) {
-    const auto* s = std::get_if<Send>(&a);
+    const auto* s = std::get_if<SendAttempt>(&a);
     if (!s)
       continue;
     auto it = held_.find(s->id);
@@ -243,40 +244,40 @@
     std::cerr << "journal: could not be written\n";
   for (const std::string& id : fresh_) {
     Held& h = held_.at(id);
-    const Clients::Reply reply = std::move(h.reply);
+    const ClientServer::Reply reply = std::move(h.reply);
     h.reply = nullptr;
     if (!kept) {  // nothing is taken on that a restart would forget
       journal_.over(id);
       held_.erase(id);
-      add(Gone{id});
+      add(Abandoned{id});
     }
     reply(kept ? "+OK" : busy(settings_.max_pause));
   }
   fresh_.clear();
   std::size_t next = 0;
   for (const Action& a : actions) {
-    if (const auto* s = std::get_if<Send>(&a)) {
+    if (const auto* s = std::get_if<SendAttempt>(&a)) {
       if (next >= sends.size() || sends[next].first != s)
         continue;
       const int attempt = sends[next++].second;
       auto it = held_.find(s->id);
       if (kept) {
-        const TakenOn& m = it->second.message;
+        const AcceptedMessage& m = it->second.message;
         endpoints_.call(m, attempt, s->endpoint,
                         std::min(Deadline::after(monotonicNow(), s->timeout), m.give_up_at));
         continue;
       }
-      Outcome o;
+      AttemptOutcome o;
       o.id = s->id;
       o.attempt = attempt;
-      o.result = Result::not_sent;
+      o.result = AttemptResult::not_sent;
       outcome(std::move(o));
-    } else if (const auto* c = std::get_if<Cancel>(&a)) {
+    } else if (const auto* c = std::get_if<CancelAttempt>(&a)) {
       if (!endpoints_.cancel(c->id, c->attempt))
         cancel_elsewhere_({c->id, c->attempt});
-    } else if (const auto* i = std::get_if<CloseIdle>(&a)) {
+    } else if (const auto* i = std::get_if<CloseIdleConnections>(&a)) {
       endpoints_.closeIdle(i->endpoint);
-    } else if (const auto* w = std::get_if<WakeIn>(&a)) {
+    } else if (const auto* w = std::get_if<SetTimer>(&a)) {
       wakes_.insert(last_turn_ + w->span);
     }
   }
@@ -284,23 +285,23 @@
 }
 
 // The module has ended a message: the client hears it at once, or by a notice if it was taken on before.
-void Host::end(const std::string& id, bool handed_back, Micros pause) {
+void DecisionDriver::end(const std::string& id, bool handed_back, Micros pause) {
   auto it = held_.find(id);
   if (it == held_.end())
     return;
   if (it->second.reply) {
-    const Clients::Reply reply = std::move(it->second.reply);
+    const ClientServer::Reply reply = std::move(it->second.reply);
     fresh_.erase(id);
     held_.erase(it);
     return reply(handed_back ? busy(pause) : "-ERR given up");
   }
-  const Notice n{handed_back, (pause + 999) / 1000};
+  const CompletionNotice n{handed_back, (pause + 999) / 1000};
   journal_.noticeOwed(id, n);
   held_.erase(it);
   notices_.owe(id, n);
 }
 
-void Host::wake() {
+void DecisionDriver::wake() {
   if (wakes_.empty())
     return;
   wake_timer_.expires_after(std::chrono::microseconds(std::max<Micros>(0, *wakes_.begin() - monotonicNow())));
@@ -314,7 +315,7 @@
       due = true;
     }
     if (due)
-      add(Wake{});
+      add(TimerFired{});
     wake();
   });
 }
--- a/src/process/decision_driver.h
+++ b/src/process/decision_driver.h
@@ -16,12 +16,12 @@
 
 namespace delivery {
 
-class Host {
+class DecisionDriver {
  public:
-  using CallId = Endpoints::CallId;
+  using CallId = EndpointPool::CallId;
   using CancelElsewhere = std::function<void(const CallId&)>;  // a call that another process has out
-  Host(boost::asio::io_context& io, Settings settings, std::uint64_t seed, Journal& journal,
-       Endpoints& endpoints, Notices& notices, CancelElsewhere cancel_elsewhere);
+  DecisionDriver(boost::asio::io_context& io, Settings settings, std::uint64_t seed, Journal& journal,
+                 EndpointPool& endpoints, CompletionNotifier& notices, CancelElsewhere cancel_elsewhere);
 
   // Takes over what the journal and the configuration know: before clients are served. `out`: calls that are
   // still out, here or from another process; each gets its outcome(). `began`: when reading the journal did.
@@ -31,8 +31,8 @@
   void retire();  // decides what is pending and writes it down; from then on another host decides
   std::int64_t list(const json& answer);  // discovery's answer; gives the version to go on from
   std::int64_t version() const { return list_.index(); }
-  void put(TakenOn message, Clients::Reply reply);
-  void outcome(Outcome o);
+  void put(AcceptedMessage message, ClientServer::Reply reply);
+  void outcome(AttemptOutcome o);
   void told(const std::string& id);  // a notice was answered
   void stopAt(Micros at);            // the process ends then, on the monotonic clock
   bool knowsList() const { return !destinations_.empty(); }
@@ -40,23 +40,23 @@
 
  private:
   struct Held {  // taken on and not over
-    TakenOn message;
+    AcceptedMessage message;
     std::vector<std::string> attempts;  // the endpoint of each
-    Clients::Reply reply;               // not answered yet
+    ClientServer::Reply reply;          // not answered yet
   };
   void add(Event e);
   void turn();
   void carryOut(const std::vector<Action>& actions);
   void end(const std::string& id, bool handed_back, Micros pause);
   void wake();
-  void takeList(const EndpointList::News& news);
+  void takeList(const EndpointList::EndpointListUpdate& news);
 
   boost::asio::io_context& io_;
   Settings settings_;
-  Sender sender_;
+  DeliveryScheduler sender_;
   Journal& journal_;
-  Endpoints& endpoints_;
-  Notices& notices_;
+  EndpointPool& endpoints_;
+  CompletionNotifier& notices_;
   CancelElsewhere cancel_elsewhere_;
   EndpointList list_;
   std::map<std::string, Held> held_;
--- a/src/process/handover.cpp
+++ b/src/process/handover.cpp
@@ -55,39 +55,39 @@
 
 }  // namespace
 
-OwnerLock::OwnerLock(const std::string& folder) {
+OwnershipLock::OwnershipLock(const std::string& folder) {
   const std::string path = folder + "/lock";
   fd_ = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
   if (fd_ < 0)
     throw std::runtime_error("lock: " + path + ": " + std::strerror(errno));
 }
 
-OwnerLock::~OwnerLock() {
+OwnershipLock::~OwnershipLock() {
   ::close(fd_);
 }
 
-bool OwnerLock::take() {
+bool OwnershipLock::take() {
   struct flock f = wholeFile(F_WRLCK);
   return ::fcntl(fd_, F_SETLK, &f) == 0;
 }
 
-void OwnerLock::release() {
+void OwnershipLock::release() {
   struct flock f = wholeFile(F_UNLCK);
   ::fcntl(fd_, F_SETLK, &f);
 }
 
-pid_t OwnerLock::holder() const {
+pid_t OwnershipLock::holder() const {
   struct flock f = wholeFile(F_WRLCK);
   return ::fcntl(fd_, F_GETLK, &f) == 0 && f.l_type != F_UNLCK && f.l_pid > 0 ? f.l_pid : 0;
 }
 
-void Link::start(OnMessage on_message, std::function<void()> on_end) {
+void HandoverLink::start(OnMessage on_message, std::function<void()> on_end) {
   on_message_ = std::move(on_message);
   on_end_ = std::move(on_end);
   read();
 }
 
-void Link::read() {
+void HandoverLink::read() {
   asio::async_read_until(socket_, asio::dynamic_buffer(in_, kLongestMessage), '\n',
                          [self = shared_from_this()](error_code e, std::size_t n) {
                            if (!self->open_)
@@ -98,7 +98,7 @@
                            self->in_.erase(0, n);
                            try {
                              self->on_message_(message);
-                           } catch (const BadInput& bad_message) {  // as good as none: it ends the link
+                           } catch (const InvalidInput& bad_message) {  // as good as none: it ends the link
                              std::cerr << "link: " << bad_message.what() << '\n';
                              return self->end();
                            }
@@ -107,13 +107,13 @@
                          });
 }
 
-void Link::send(const json& message) {
+void HandoverLink::send(const json& message) {
   out_.push_back(message.dump(-1, ' ', false, json::error_handler_t::replace) + "\n");
   if (open_ && out_.size() == 1)
     write();
 }
 
-void Link::write() {
+void HandoverLink::write() {
   asio::async_write(socket_, asio::buffer(out_.front()),
                     [self = shared_from_this()](error_code e, std::size_t) {
                       if (!self->open_ || e)
@@ -124,7 +124,7 @@
                     });
 }
 
-void Link::end() {
+void HandoverLink::end() {
   if (!open_)
     return;
   const auto on_end = std::move(on_end_);
@@ -132,13 +132,13 @@
   on_end();
 }
 
-void Link::close() {
+void HandoverLink::close() {
   open_ = false;
   error_code ignored;
   socket_.close(ignored);
 }
 
-LinkListener::LinkListener(asio::io_context& io, const std::string& folder, OnLink on_link)
+HandoverListener::HandoverListener(asio::io_context& io, const std::string& folder, OnLink on_link)
     : acceptor_(io), on_link_(std::move(on_link)) {
   const SocketPath path(folder);
   ::unlink(path.get().c_str());
@@ -153,27 +153,27 @@
   }
 }
 
-void LinkListener::close() {
+void HandoverListener::close() {
   error_code ignored;
   acceptor_.close(ignored);
 }
 
-void LinkListener::accept() {
-  acceptor_.async_accept([this](error_code e, Link::Socket s) {
+void HandoverListener::accept() {
+  acceptor_.async_accept([this](error_code e, HandoverLink::Socket s) {
     if (e || !acceptor_.is_open())
       return;
-    on_link_(std::make_shared<Link>(std::move(s)));
+    on_link_(std::make_shared<HandoverLink>(std::move(s)));
     if (acceptor_.is_open())
       accept();
   });
 }
 
-std::shared_ptr<Link> connectLink(asio::io_context& io, const std::string& folder) {
+std::shared_ptr<HandoverLink> connectLink(asio::io_context& io, const std::string& folder) {
   const SocketPath path(folder);
-  Link::Socket socket(io);
+  HandoverLink::Socket socket(io);
   error_code e;
   socket.connect(Protocol::endpoint(path.get()), e);
-  return e ? nullptr : std::make_shared<Link>(std::move(socket));
+  return e ? nullptr : std::make_shared<HandoverLink>(std::move(socket));
 }
 
 }  // namespace delivery
--- a/src/process/handover.h
+++ b/src/process/handover.h
@@ -15,12 +15,12 @@
 
 namespace delivery {
 
-class OwnerLock {
+class OwnershipLock {
  public:
-  explicit OwnerLock(const std::string& folder);  // throws std::runtime_error when it can't be opened
-  ~OwnerLock();                                   // lets it go
-  OwnerLock(const OwnerLock&) = delete;
-  OwnerLock& operator=(const OwnerLock&) = delete;
+  explicit OwnershipLock(const std::string& folder);  // throws std::runtime_error when it can't be opened
+  ~OwnershipLock();                                   // lets it go
+  OwnershipLock(const OwnershipLock&) = delete;
+  OwnershipLock& operator=(const OwnershipLock&) = delete;
 
   bool take();  // false: another process has it
   void release();
@@ -30,11 +30,11 @@
   int fd_ = -1;
 };
 
-class Link : public std::enable_shared_from_this<Link> {
+class HandoverLink : public std::enable_shared_from_this<HandoverLink> {
  public:
   using Socket = boost::asio::local::stream_protocol::socket;
   using OnMessage = std::function<void(const json&)>;
-  explicit Link(Socket socket) : socket_(std::move(socket)) {}
+  explicit HandoverLink(Socket socket) : socket_(std::move(socket)) {}
 
   void start(OnMessage on_message, std::function<void()> on_end);
   void send(const json& message);
@@ -56,10 +56,10 @@
 
 // Where the owner is asked to hand over. A socket left there by a dead process is replaced; only the owner of
 // the lock may listen.
-class LinkListener {
+class HandoverListener {
  public:
-  using OnLink = std::function<void(std::shared_ptr<Link>)>;
-  LinkListener(boost::asio::io_context& io, const std::string& folder, OnLink on_link);
+  using OnLink = std::function<void(std::shared_ptr<HandoverLink>)>;
+  HandoverListener(boost::asio::io_context& io, const std::string& folder, OnLink on_link);
   void close();  // the callback is not called after it
 
  private:
@@ -69,6 +69,6 @@
 };
 
 // The link to the process that listens there, null if there is none.
-std::shared_ptr<Link> connectLink(boost::asio::io_context& io, const std::string& folder);
+std::shared_ptr<HandoverLink> connectLink(boost::asio::io_context& io, const std::string& folder);
 
 }  // namespace delivery
--- a/src/process/sender_process.cpp
+++ b/src/process/sender_process.cpp
@@ -23,13 +23,13 @@
 // what the next has not locked by then, and gives up when a third process has it.
 constexpr Micros kOwnerHangs = 4'000'000, kTakeBackAfter = 2'000'000, kTakeBackWithin = 1'000'000;
 
-Endpoints::CallId callOf(const json& j) {
+EndpointPool::CallId callOf(const json& j) {
   if (!j.is_array() || j.size() != 2 || !j[0].is_string() || !j[1].is_number_integer())
     bad("not a call");
   return {j[0].get<std::string>(), j[1].get<int>()};
 }
 
-json outcomeToJson(const Outcome& o) {
+json outcomeToJson(const AttemptOutcome& o) {
   json j{{"id", o.id},
          {"attempt", o.attempt},
          {"result", static_cast<int>(o.result)},
@@ -42,14 +42,14 @@
   return j;
 }
 
-Outcome outcomeFromJson(const json& j) {
-  Outcome o;
+AttemptOutcome outcomeFromJson(const json& j) {
+  AttemptOutcome o;
   o.id = text(j, "id");
   o.attempt = static_cast<int>(integer(j, "attempt"));
   const std::int64_t result = integer(j, "result");
-  if (result < 0 || result > static_cast<int>(Result::not_sent))
+  if (result < 0 || result > static_cast<int>(AttemptResult::not_sent))
     bad("not a result");
-  o.result = static_cast<Result>(result);
+  o.result = static_cast<AttemptResult>(result);
   o.finished = truth(j, "finished");
   o.still_out = truth(j, "still_out", false);
   o.wait = integer(j, "wait");
@@ -58,7 +58,7 @@
     const json& r = array(j, "report");
     if (r.size() != 2 || !r[0].is_number() || !r[1].is_number())
       bad("not a report");
-    o.report = LimitReport{r[0].get<double>(), r[1].get<double>()};
+    o.report = LoadReport{r[0].get<double>(), r[1].get<double>()};
   }
   return o;
 }
@@ -76,21 +76,22 @@
 }  // namespace
 
 // All that belongs to owning the journal.
-struct Service::Serving {
-  Serving(Service& s, const tcp::endpoint& agent, const std::set<CallId>& out)
+struct SenderProcess::ActiveRole {
+  ActiveRole(SenderProcess& s, const tcp::endpoint& agent, const std::set<CallId>& out)
       : began(monotonicNow()),
         journal(s.config_.state, {s.config_.disk_bytes, s.config_.durable}),
-        notices(Agent(s.io_, agent, s.config_.discovery), [this](const std::string& id) { host.told(id); }),
+        notices(DiscoveryClient(s.io_, agent, s.config_.discovery),
+                [this](const std::string& id) { host.told(id); }),
         host(s.io_, s.config_.settings, s.config_.seed, journal, s.endpoints_, notices,
              [&s](const CallId& call) {
                if (s.older_)
                  s.older_->send({{"cancel", {call.first, call.second}}});
              }),
-        watcher(Agent(s.io_, agent, s.config_.discovery), s.config_.seed,
+        watcher(DiscoveryClient(s.io_, agent, s.config_.discovery), s.config_.seed,
                 [this](const json& a) { return host.list(a); }),
         clients(s.io_, listenForClients(s.io_, s.config_), s.connections_,
-                [this](TakenOn m, Clients::Reply r) { host.put(std::move(m), std::move(r)); }),
-        next(s.io_, s.config_.scratch, [&s](std::shared_ptr<Link> l) { s.yieldTo(std::move(l)); }) {
+                [this](AcceptedMessage m, ClientServer::Reply r) { host.put(std::move(m), std::move(r)); }),
+        next(s.io_, s.config_.scratch, [&s](std::shared_ptr<HandoverLink> l) { s.yieldTo(std::move(l)); }) {
     host.recover(s.config_.known, out, began, s.replaces_);
     watcher.start(host.version());
   }
@@ -105,14 +106,14 @@
 
   const Micros began;
   Journal journal;
-  Notices notices;
-  Host host;
-  Watcher watcher;
-  Clients clients;
-  LinkListener next;
+  CompletionNotifier notices;
+  DecisionDriver host;
+  EndpointWatch watcher;
+  ClientServer clients;
+  HandoverListener next;
 };
 
-Service::Service(asio::io_context& io, Config config, std::function<void()> on_over)
+SenderProcess::SenderProcess(asio::io_context& io, Config config, std::function<void()> on_over)
     : io_(io),
       config_(std::move(config)),
       on_over_(std::move(on_over)),
@@ -120,7 +121,7 @@
       connections_(budget()),
       endpoints_(
           io, {config_.settings.dial_timeout, config_.settings.conn_idle}, connections_,
-          [this](Outcome o) { outcome(std::move(o)); },
+          [this](AttemptOutcome o) { outcome(std::move(o)); },
           [this](const std::string& endpoint, std::optional<std::int64_t> destination) {
             if (!older_)
               return;
@@ -139,14 +140,14 @@
   look();
 }
 
-Service::~Service() = default;
+SenderProcess::~SenderProcess() = default;
 
 // A process that only ends its calls shares the descriptors with this one.
-Budget Service::budget() const {
+Budget SenderProcess::budget() const {
   return budgetOf({config_.sockets, config_.memory_bytes, config_.settings.slots}, older_ != nullptr);
 }
 
-void Service::limit(std::int64_t sockets, std::int64_t memory_bytes) {
+void SenderProcess::limit(std::int64_t sockets, std::int64_t memory_bytes) {
   const Budget b = budgetOf({sockets, memory_bytes, config_.settings.slots}, older_ != nullptr);
   if (sockets == config_.sockets && memory_bytes == config_.memory_bytes)
     return;
@@ -157,7 +158,7 @@
   changeBudget(b);
 }
 
-void Service::changeBudget(const Budget& b) {
+void SenderProcess::changeBudget(const Budget& b) {
   connections_.setBudget(b);
   endpoints_.budgetChanged();
   if (serving_)
@@ -165,11 +166,11 @@
 }
 
 // Looks again and again while something is to be waited for that has no event: not while it just serves.
-void Service::look() {
+void SenderProcess::look() {
   if (over_ || looking_)
     return;
   if (serving_ && newer_) {
-    const Clients& c = serving_->clients;
+    const ClientServer& c = serving_->clients;
     const bool quiet = c.count() == 0 || monotonicNow() - yield_from_ > kYieldWithin;
     if (quiet && c.unanswered() == 0)
       release();
@@ -191,7 +192,7 @@
   });
 }
 
-bool Service::done() const {
+bool SenderProcess::done() const {
   const Micros since = monotonicNow() - stop_from_;
   if (stop_from_ > 0 && since >= kStopAfter)
     return true;
@@ -203,7 +204,7 @@
   return stop_from_ > 0 || (handed_over_ && monotonicNow() - waiting_from_ > kTakeBackWithin);
 }
 
-void Service::waitForJournal() {
+void SenderProcess::waitForJournal() {
   const Micros waited = monotonicNow() - waiting_from_;
   const bool owner_hangs = !handed_over_ && waited > kOwnerHangs;
   if ((!older_ || older_released_ || owner_hangs) && stop_from_ == 0 && lock_.take())
@@ -230,21 +231,21 @@
 }
 
 // This process owns the journal from here on.
-void Service::own() {
+void SenderProcess::own() {
   std::set<CallId> out = elsewhere_;
   for (const CallId& c : endpoints_.calls())
     out.insert(c);
-  for (const Outcome& o : told_)
+  for (const AttemptOutcome& o : told_)
     out.insert({o.id, o.attempt});
-  for (const Outcome& o : early_)
+  for (const AttemptOutcome& o : early_)
     out.insert({o.id, o.attempt});
   if (newer_)
     newer_->close();
   newer_.reset();
   newer_serves_ = handed_over_ = false;
-  serving_ = std::make_unique<Serving>(*this, parseAddress(config_.discovery), out);
+  serving_ = std::make_unique<ActiveRole>(*this, parseAddress(config_.discovery), out);
   for (auto* heard : {&told_, &early_}) {
-    for (Outcome& o : *heard)
+    for (AttemptOutcome& o : *heard)
       serving_->host.outcome(std::move(o));
     heard->clear();
   }
@@ -255,7 +256,7 @@
   std::cerr << "ready\n";
 }
 
-void Service::outcome(Outcome o) {
+void SenderProcess::outcome(AttemptOutcome o) {
   if (serving_)
     return serving_->host.outcome(std::move(o));
   if (newer_)
@@ -263,7 +264,7 @@
   told_.push_back(std::move(o));
 }
 
-void Service::yieldTo(std::shared_ptr<Link> newer) {
+void SenderProcess::yieldTo(std::shared_ptr<HandoverLink> newer) {
   if (newer_)
     return newer->close();  // it asks again
   std::cerr << "handover: the next process asks for it\n";
@@ -290,7 +291,7 @@
   look();
 }
 
-void Service::release() {
+void SenderProcess::release() {
   serving_->retire();
   retired_.push_back(std::move(serving_));
   endpoints_.closeAllIdle();
@@ -304,7 +305,7 @@
   released_at_ = waiting_from_ = monotonicNow();
 }
 
-void Service::onNewerEnd() {
+void SenderProcess::onNewerEnd() {
   std::cerr << "handover: the next process is gone\n";
   newer_.reset();
   waiting_from_ = monotonicNow();
@@ -316,7 +317,7 @@
   look();
 }
 
-void Service::onOlderMessage(const json& message) {
+void SenderProcess::onOlderMessage(const json& message) {
   if (!absent(message, "release")) {
     for (const json& c : array(message, "release"))
       elsewhere_.insert(callOf(c));
@@ -325,7 +326,7 @@
   }
   if (absent(message, "outcome"))
     return;
-  Outcome o = outcomeFromJson(field(message, "outcome"));
+  AttemptOutcome o = outcomeFromJson(field(message, "outcome"));
   if (elsewhere_.count({o.id, o.attempt}) == 0)
     return;
   if (!o.still_out)
@@ -336,7 +337,7 @@
 }
 
 // What it had out when it ended may have run, which says nothing of the endpoint.
-void Service::onOlderEnd() {
+void SenderProcess::onOlderEnd() {
   older_.reset();
   older_released_ = false;
   const auto lost = std::move(elsewhere_);
@@ -345,15 +346,15 @@
   if (!serving_)
     return look();  // the journal tells of them
   for (const CallId& c : lost) {
-    Outcome o;
+    AttemptOutcome o;
     o.id = c.first;
     o.attempt = c.second;
-    o.result = Result::cancelled;
+    o.result = AttemptResult::cancelled;
     serving_->host.outcome(std::move(o));
   }
 }
 
-std::string Service::notReady() const {
+std::string SenderProcess::notReady() const {
   if (stop_from_ > 0)
     return "stopping";
   if (serving_ && newer_)
@@ -367,7 +368,7 @@
   return serving_->host.knowsList() ? "" : "no list of endpoints yet";
 }
 
-std::string Service::operate(const std::string& call) {
+std::string SenderProcess::operate(const std::string& call) {
   const std::string why = notReady();
   if (call == "READY")
     return why.empty() ? "OK ready" : "ERR " + why;
@@ -381,7 +382,7 @@
   return operators_drain_ ? "OK draining" : "OK serving";
 }
 
-void Service::stop() {
+void SenderProcess::stop() {
   if (stop_from_ > 0)
     return;
   std::cerr << "stopping\n";
@@ -393,7 +394,7 @@
   look();
 }
 
-void Service::followDiscovery(const std::string& address) {
+void SenderProcess::followDiscovery(const std::string& address) {
   const tcp::endpoint peer = parseAddress(address);
   config_.discovery = address;
   if (!serving_)
--- a/src/process/sender_process.h
+++ b/src/process/sender_process.h
@@ -33,23 +33,23 @@
   Settings settings;
 };
 
-class Service {
+class SenderProcess {
  public:
   // `on_over`: this process has nothing left to do. Throws when the configuration can't be served.
-  Service(boost::asio::io_context& io, Config config, std::function<void()> on_over);
-  ~Service();
-  Service(const Service&) = delete;
-  Service& operator=(const Service&) = delete;
+  SenderProcess(boost::asio::io_context& io, Config config, std::function<void()> on_over);
+  ~SenderProcess();
+  SenderProcess(const SenderProcess&) = delete;
+  SenderProcess& operator=(const SenderProcess&) = delete;
 
   void stop();                                       // SIGTERM: over once all is done, in 3.4 s at most
   void followDiscovery(const std::string& address);  // throws std::invalid_argument
   const std::string& discovery() const { return config_.discovery; }
-  // New limits: throws BadInput when they can't hold what is set aside; then the old ones stay.
+  // New limits: throws InvalidInput when they can't hold what is set aside; then the old ones stay.
   void limit(std::int64_t sockets, std::int64_t memory_bytes);
 
  private:
-  struct Serving;
-  using CallId = Endpoints::CallId;
+  struct ActiveRole;
+  using CallId = EndpointPool::CallId;
 
   void look();
   void waitForJournal();
@@ -57,10 +57,10 @@
   bool done() const;
   std::string operate(const std::string& call);
   std::string notReady() const;  // why, or nothing
-  void outcome(Outcome o);
+  void outcome(AttemptOutcome o);
 
   // As the older of two processes
-  void yieldTo(std::shared_ptr<Link> newer);
+  void yieldTo(std::shared_ptr<HandoverLink> newer);
   void release();
   void onNewerEnd();
   // As the newer of two
@@ -73,26 +73,26 @@
   boost::asio::io_context& io_;
   Config config_;
   std::function<void()> on_over_;
-  OwnerLock lock_;
+  OwnershipLock lock_;
   Connections connections_;
-  Endpoints endpoints_;
-  std::optional<Control> control_;
+  EndpointPool endpoints_;
+  std::optional<ControlServer> control_;
   boost::asio::steady_timer look_timer_;
-  std::unique_ptr<Serving> serving_;               // while this process owns the journal
-  std::vector<std::unique_ptr<Serving>> retired_;  // what may still have a handler queued, until the end
+  std::unique_ptr<ActiveRole> serving_;               // while this process owns the journal
+  std::vector<std::unique_ptr<ActiveRole>> retired_;  // what may still have a handler queued, until the end
   Micros stop_from_ = 0;
   Micros waiting_from_ = 0;  // for the journal
   bool operators_drain_ = false, looking_ = false, over_ = false;
 
-  std::shared_ptr<Link> older_;
+  std::shared_ptr<HandoverLink> older_;
   bool older_released_ = false, replaces_ = false;  // replaces_: an older process served, or this one has
   std::set<CallId> elsewhere_;                      // calls that the older process has out
-  std::vector<Outcome> early_;  // of those that ended before this process owned the journal
+  std::vector<AttemptOutcome> early_;  // of those that ended before this process owned the journal
 
-  std::shared_ptr<Link> newer_;
+  std::shared_ptr<HandoverLink> newer_;
   bool newer_serves_ = false, handed_over_ = false;
   Micros yield_from_ = 0, released_at_ = 0;
-  std::vector<Outcome> told_;  // to the newer process: if it dies, it may not have written them down
+  std::vector<AttemptOutcome> told_;  // to the newer process: if it dies, it may not have written them down
 };
 
 }  // namespace delivery
--- a/src/programs/message_sender.cpp
+++ b/src/programs/message_sender.cpp
@@ -98,7 +98,7 @@
 
 void run(Config c) {
   boost::asio::io_context io(1);
-  Service service(io, std::move(c), [&] { io.stop(); });
+  SenderProcess service(io, std::move(c), [&] { io.stop(); });
   boost::asio::signal_set stop(io, SIGTERM, SIGINT), reload(io, SIGHUP);
   stop.async_wait([&](const boost::system::error_code& e, int) {
     if (!e)
--- a/src/programs/simulator_adapter.cpp
+++ b/src/programs/simulator_adapter.cpp
@@ -10,29 +10,29 @@
 
 namespace {
 
-Result readResult(const json& o) {
-  return oneOf<Result>(text(o, "How"),
-                       {{"success", Result::ok},
-                        {"failure", Result::error},
-                        {"overloaded", Result::full},
-                        {"timed_out", Result::timeout},
-                        {"unreachable", Result::connect_failed},
-                        {"broken", Result::reset},
-                        {"withdrawn", Result::cancelled},
-                        {"void", Result::not_sent}},
-                       "How");
+AttemptResult readResult(const json& o) {
+  return oneOf<AttemptResult>(text(o, "How"),
+                              {{"success", AttemptResult::ok},
+                               {"failure", AttemptResult::error},
+                               {"overloaded", AttemptResult::throttled},
+                               {"timed_out", AttemptResult::timeout},
+                               {"unreachable", AttemptResult::connect_failed},
+                               {"broken", AttemptResult::reset},
+                               {"withdrawn", AttemptResult::cancelled},
+                               {"void", AttemptResult::not_sent}},
+                              "How");
 }
 
 struct Instance {
   explicit Instance(Settings s, std::uint64_t seed, int left_at, int limit_at)
       : sender(std::move(s), seed), x0(left_at), x1(limit_at) {}
-  Sender sender;
+  DeliveryScheduler sender;
   int x0, x1;  // where the load report holds them, -1: nowhere
   std::vector<Event> events;
   std::int64_t label = 0;
 };
 
-class Host {
+class SimulatorAdapter {
  public:
   std::string turn(const std::string& line) {
     json batch = json::parse(line, nullptr, false);
@@ -60,7 +60,7 @@
     const std::string name = e.begin().key();
     try {
       takeNamed(name, e.begin().value());
-    } catch (const BadInput& b) {
+    } catch (const InvalidInput& b) {
       bad(name + ": " + b.what());
     }
   }
@@ -89,13 +89,13 @@
       i.events.push_back(call(f));
     } else if (name == "TimeoutFired") {
       integer(f, "Label");
-      i.events.push_back(Wake{});
+      i.events.push_back(TimerFired{});
     } else if (name == "CheckResult") {
       readResult(f);  // the module never probes, so there is nobody to tell
     } else if (name == "Established") {
       integer(f, "Attempt");  // no class here has streamed answers
     } else if (name == "Left") {
-      i.events.push_back(Gone{text(f, "OpId")});
+      i.events.push_back(Abandoned{text(f, "OpId")});
     } else if (name == "Reply") {
       i.events.push_back(reply(i, f));
     } else if (name != "Whisper") {
@@ -125,9 +125,9 @@
   }
 
   void roster(const json& f) {
-    std::vector<Endpoint> list;
+    std::vector<EndpointInfo> list;
     for (const json& m : array(f, "Members")) {
-      Endpoint e;
+      EndpointInfo e;
       e.id = text(m, "Endpoint");
       e.zone = text(m, "Hall", "");
       e.kind = text(m, "Hw", "");
@@ -135,21 +135,24 @@
       const std::int64_t mode = integer(m, "Mode");
       if (mode < 1 || mode > 3)
         bad("unknown value of Mode");
-      e.state = mode == 3 ? EndpointState::ready : mode == 2 ? EndpointState::draining : EndpointState::gone;
+      e.state = mode == 3   ? EndpointState::ready
+                : mode == 2 ? EndpointState::draining
+                            : EndpointState::removed;
       e.weight = number(m, "Share", 0);
       list.push_back(std::move(e));
     }
     sheets_[integer(f, "Sheet")] = std::move(list);
   }
 
-  ListUpdate members(const json& f) {
+  EndpointsChanged members(const json& f) {
     const std::int64_t kind = integer(f, "Kind");
     if (kind < 0 || kind > 3)
       bad("unknown value of Kind");
-    const ListKind kinds[] = {ListKind::delta, ListKind::full, ListKind::cached, ListKind::failed};
-    ListUpdate u;
+    const EndpointUpdateKind kinds[] = {EndpointUpdateKind::delta, EndpointUpdateKind::full,
+                                        EndpointUpdateKind::cached, EndpointUpdateKind::failed};
+    EndpointsChanged u;
     u.kind = kinds[kind];
-    if (u.kind == ListKind::failed)
+    if (u.kind == EndpointUpdateKind::failed)
       return u;
     const std::int64_t sheet = integer(f, "Sheet");
     auto it = sheets_.find(sheet);
@@ -173,7 +176,7 @@
     return a;
   }
 
-  static std::optional<LimitReport> gauge(const Instance& i, const json& f) {
+  static std::optional<LoadReport> gauge(const Instance& i, const json& f) {
     if (absent(f, "Gauge"))
       return std::nullopt;
     const json& row = array(f, "Gauge");
@@ -184,16 +187,16 @@
     };
     if (i.x0 < 0 && i.x1 < 0)
       return std::nullopt;
-    return LimitReport{at(i.x0), at(i.x1)};
+    return LoadReport{at(i.x0), at(i.x1)};
   }
 
-  static Outcome reply(const Instance& i, const json& f) {
-    Outcome o;
+  static AttemptOutcome reply(const Instance& i, const json& f) {
+    AttemptOutcome o;
     o.id = text(f, "OpId");
     o.attempt = static_cast<int>(integer(f, "Attempt"));
     o.result = readResult(f);
     o.finished = truth(f, "Finished", false);
-    if (o.result == Result::full)
+    if (o.result == AttemptResult::throttled)
       o.wait = span(f, "Detail", 0);
     o.rtt = span(f, "RttMs", 0);
     o.report = gauge(i, f);
@@ -222,23 +225,25 @@
     struct Writer {
       Instance& i;
       std::int64_t who;
-      json operator()(const Send& a) const {
+      json operator()(const SendAttempt& a) const {
         return {{"SubmitTo",
                  {{"Who", who}, {"OpId", a.id}, {"Endpoint", a.endpoint}, {"WithinMs", toMs(a.timeout)}}}};
       }
-      json operator()(const Cancel& a) const {
+      json operator()(const CancelAttempt& a) const {
         return {{"StopAttempt", {{"Who", who}, {"OpId", a.id}, {"Attempt", a.attempt}}}};
       }
-      json operator()(const Refuse& a) const {
+      json operator()(const Reject& a) const {
         return {{"Decline", {{"Who", who}, {"OpId", a.id}, {"CoolDownMs", toMs(a.pause)}}}};
       }
       json operator()(const Fail& a) const { return {{"FinishError", {{"Who", who}, {"OpId", a.id}}}}; }
-      json operator()(const Ailment&) const { return nullptr; }  // here nothing outlasts a process
-      json operator()(const delivery::Watch&) const { return {{"Watch", {{"Who", who}, {"Active", true}}}}; }
-      json operator()(const CloseIdle& a) const {
+      json operator()(const HealthRecord&) const { return nullptr; }  // here nothing outlasts a process
+      json operator()(const delivery::SubscribeEndpoints&) const {
+        return {{"Watch", {{"Who", who}, {"Active", true}}}};
+      }
+      json operator()(const CloseIdleConnections& a) const {
         return {{"Disconnect", {{"Who", who}, {"Endpoint", a.endpoint}}}};
       }
-      json operator()(const WakeIn& a) const {
+      json operator()(const SetTimer& a) const {
         return {{"NotifyMe", {{"Who", who}, {"Label", ++i.label}, {"SpanMs", toMs(a.span)}}}};
       }
     };
@@ -246,7 +251,7 @@
   }
 
   std::map<std::int64_t, Instance> instances_;
-  std::map<std::int64_t, std::vector<Endpoint>> sheets_;
+  std::map<std::int64_t, std::vector<EndpointInfo>> sheets_;
   std::vector<std::int64_t> touched_;
   std::vector<std::pair<std::int64_t, std::string>> faults_;
 };
@@ -256,7 +261,7 @@
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  Host host;
+  SimulatorAdapter host;
   std::string line;
   for (long number = 1; std::getline(std::cin, line); ++number) {
     try {
--- a/src/protocol/json_fields.h
+++ b/src/protocol/json_fields.h
@@ -15,12 +15,12 @@
 
 using nlohmann::json;
 
-struct BadInput : std::runtime_error {
+struct InvalidInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 [[noreturn]] inline void bad(const std::string& what) {
-  throw BadInput(what);
+  throw InvalidInput(what);
 }
 
 inline const json& field(const json& o, const char* name) {
--- a/src/protocol/settings_reader.cpp
+++ b/src/protocol/settings_reader.cpp
@@ -12,13 +12,16 @@
   m.aim_stretch = number(c, "AimStretch", 0);
   m.worth = number(c, "Worth", 1);
   m.late_worth = number(c, "LateWorth", 0);
-  m.effect = oneOf<Effect>(
-      text(c, "Idempotency"),
-      {{"idempotent", Effect::safe}, {"deduplicated", Effect::keyed}, {"at_most_once", Effect::unsafe}},
-      "Idempotency");
-  m.group = oneOf<RepeatGroup>(
-      text(c, "Group", "all"),
-      {{"all", RepeatGroup::all}, {"zone", RepeatGroup::zone}, {"cell", RepeatGroup::cell}}, "Group");
+  m.effect = oneOf<Idempotency>(text(c, "Idempotency"),
+                                {{"idempotent", Idempotency::idempotent},
+                                 {"deduplicated", Idempotency::with_key},
+                                 {"at_most_once", Idempotency::non_idempotent}},
+                                "Idempotency");
+  m.group = oneOf<DeduplicationScope>(text(c, "Group", "all"),
+                                      {{"all", DeduplicationScope::all},
+                                       {"zone", DeduplicationScope::zone},
+                                       {"cell", DeduplicationScope::cell}},
+                                      "Group");
   m.memory = span(c, "MemorySpanMs", 0);
   m.ordered = truth(c, "KeepOrder", false);
   return m;
@@ -27,8 +30,8 @@
 void readDomain(const json& o, Settings& s) {
   const json& d = optionalObject(o, "Domain");
   s.slots = static_cast<int>(number(d, "CallSlots", 1));
-  s.late = oneOf<LateRule>(text(d, "Late", "line"), {{"line", LateRule::line}, {"halves", LateRule::halves}},
-                           "Late");
+  s.late = oneOf<LateDecay>(text(d, "Late", "line"),
+                            {{"line", LateDecay::linear}, {"halves", LateDecay::halving}}, "Late");
   if (!absent(d, "ZoneFee"))
     for (const json& z : array(d, "ZoneFee"))
       s.zone_fee.push_back(z.is_number() ? z.get<double>() : 0);
@@ -111,8 +114,8 @@
                                  {"rough", WeightKind::rough},
                                  {"live", WeightKind::none}},
                                 "WeightKind");
-  s.list = oneOf<ListMode>(text(o, "Discovery", "push"), {{"push", ListMode::push}, {"ask", ListMode::ask}},
-                           "Discovery");
+  s.list = oneOf<DiscoveryMode>(text(o, "Discovery", "push"),
+                                {{"push", DiscoveryMode::push}, {"ask", DiscoveryMode::poll}}, "Discovery");
   s.senders = static_cast<int>(number(o, "Balancers", 1));
   s.tick = span(o, "TickMs", 0);
   s.over_share_worth = number(o, "OverShareWorth", 1);
--- a/src/protocol/settings_reader.h
+++ b/src/protocol/settings_reader.h
@@ -5,9 +5,9 @@
 
 namespace delivery {
 
-// Throws BadInput naming the first field whose value can't be.
+// Throws InvalidInput naming the first field whose value can't be.
 void validateSettings(const Settings& settings);
 
-Settings readSettings(const json& o);  // throws BadInput naming the field
+Settings readSettings(const json& o);  // throws InvalidInput naming the field
 
 }  // namespace delivery
--- a/src/storage/file_system.cpp
+++ b/src/storage/file_system.cpp
@@ -10,29 +10,29 @@
 
 namespace delivery {
 
-int Files::open(const std::string& path, int flags) {
+int FileSystem::open(const std::string& path, int flags) {
   return ::open(path.c_str(), flags | O_CLOEXEC, 0644);
 }
-ssize_t Files::read(int fd, char* to, std::size_t size) {
+ssize_t FileSystem::read(int fd, char* to, std::size_t size) {
   return ::read(fd, to, size);
 }
-ssize_t Files::write(int fd, const char* from, std::size_t size) {
+ssize_t FileSystem::write(int fd, const char* from, std::size_t size) {
   return ::write(fd, from, size);
 }
-int Files::truncate(int fd, off_t size) {
+int FileSystem::truncate(int fd, off_t size) {
   return ::ftruncate(fd, size);
 }
 
-off_t Files::size(int fd) {
+off_t FileSystem::size(int fd) {
   struct stat s {};
   return ::fstat(fd, &s) == 0 ? s.st_size : -1;
 }
 
-int Files::sync(int fd) {
+int FileSystem::sync(int fd) {
   return ::fdatasync(fd);
 }
 
-int Files::syncFolder(const std::string& path) {
+int FileSystem::syncFolder(const std::string& path) {
   const int fd = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (fd < 0)
     return -1;
@@ -42,18 +42,18 @@
   return done;
 }
 
-int Files::rename(const std::string& from, const std::string& to) {
+int FileSystem::rename(const std::string& from, const std::string& to) {
   return ::rename(from.c_str(), to.c_str());
 }
-int Files::unlink(const std::string& path) {
+int FileSystem::unlink(const std::string& path) {
   return ::unlink(path.c_str());
 }
-void Files::close(int fd) {
+void FileSystem::close(int fd) {
   ::close(fd);
 }
 
-Files& Files::system() {
-  static Files files;
+FileSystem& FileSystem::system() {
+  static FileSystem files;
   return files;
 }
 
--- a/src/storage/file_system.h
+++ b/src/storage/file_system.h
@@ -9,9 +9,9 @@
 
 namespace delivery {
 
-class Files {
+class FileSystem {
  public:
-  virtual ~Files() = default;
+  virtual ~FileSystem() = default;
   virtual int open(const std::string& path, int flags);
   virtual ssize_t read(int fd, char* to, std::size_t size);
   virtual ssize_t write(int fd, const char* from, std::size_t size);
@@ -23,7 +23,7 @@
   virtual int unlink(const std::string& path);
   virtual void close(int fd);
 
-  static Files& system();
+  static FileSystem& system();
 };
 
 }  // namespace delivery
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-Journal::Journal(const std::string& folder, Options options, const Clocks& now, Files& files)
+Journal::Journal(const std::string& folder, Options options, const Clocks& now, FileSystem& files)
     : files_(files),
       folder_(folder),
       path_(folder + "/journal"),
@@ -176,7 +176,7 @@
 
 // Guards against a message that is taken on and then can't be kept. Right after a rewrite the file holds what
 // is live, and the next one writes as much again beside it.
-bool Journal::reserve(const TakenOn& m) {
+bool Journal::reserve(const AcceptedMessage& m) {
   const std::uint64_t more = reserved_ + sizeOnDisk(m) + kSeeThrough, live = live_ + more;
   auto fits = [&](std::uint64_t file) { return blocks(file) + blocks(live) + kLeastWaste <= disk_; };
   if (!fits(live))
@@ -194,7 +194,7 @@
   return true;
 }
 
-void Journal::accepted(const TakenOn& m) {
+void Journal::accepted(const AcceptedMessage& m) {
   if (!append(acceptedPayload(m, clock_)))
     return;
   live_ += sizeOnDisk(m) + kSeeThrough;
@@ -207,7 +207,7 @@
 void Journal::neverRan(const std::string& id, std::size_t attempt) {
   append(neverRanPayload(id, attempt));
 }
-void Journal::noticeOwed(const std::string& id, const Notice& n) {
+void Journal::noticeOwed(const std::string& id, const CompletionNotice& n) {
   append(owedPayload(id, n));
 }
 void Journal::over(const std::string& id) {
@@ -221,7 +221,7 @@
   append(listPayload(list));
   live_ = liveBytes();
 }
-void Journal::ailing(const Ailment& a) {
+void Journal::ailing(const HealthRecord& a) {
   append(ailingPayload(a, clock_));
   live_ = liveBytes();
 }
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -22,14 +22,14 @@
   struct Recovered {
     std::vector<Entry> entries;  // in the order in which they were taken on
     std::string list;            // discovery's last list, empty if none
-    std::vector<Ailment> ailments;
+    std::vector<HealthRecord> ailments;
     std::string found;  // one line for the log
     bool damaged = false;
   };
 
   // Opens or creates the journal in `folder`. Throws std::runtime_error when that can't be done.
   Journal(const std::string& folder, Options options, const Clocks& now = readClocks(),
-          Files& files = Files::system());
+          FileSystem& files = FileSystem::system());
   ~Journal();
   Journal(const Journal&) = delete;
   Journal& operator=(const Journal&) = delete;
@@ -39,17 +39,17 @@
 
   // Keeps room to take this on and to see it through, old and new file together. It holds until the next
   // flush, by when the message is either taken on or refused. False: there is none.
-  bool reserve(const TakenOn& m);
+  bool reserve(const AcceptedMessage& m);
 
   // Each of these appends to a buffer; flush() writes it. False: what it promises must not be done; the
   // buffer waits for the next flush.
-  void accepted(const TakenOn& m);
+  void accepted(const AcceptedMessage& m);
   void attempted(const std::string& id, const JournaledAttempt& a);
   void neverRan(const std::string& id, std::size_t attempt);
-  void noticeOwed(const std::string& id, const Notice& n);
+  void noticeOwed(const std::string& id, const CompletionNotice& n);
   void over(const std::string& id);  // delivered, withdrawn, or its notice was answered
   void listed(const std::string& list);
-  void ailing(const Ailment& a);
+  void ailing(const HealthRecord& a);
   bool flush();
   void close();  // flushes; from then on another process may own the files
 
@@ -64,7 +64,7 @@
   bool compact();
   bool writeAll(int fd, const std::string& data);
 
-  Files& files_;
+  FileSystem& files_;
   std::string folder_, path_, fresh_path_, aside_path_;
   Options options_;
   std::uint64_t disk_ = 0, size_ = 0, live_ = 0, reserved_ = 0, next_number_ = 1;
--- a/src/storage/journal_format.cpp
+++ b/src/storage/journal_format.cpp
@@ -125,7 +125,7 @@
 std::string headPayload(const JournalHead& h) {
   return Writer(kVersion).number(h.version).small(h.durable).number(h.clock).number(h.at).text(h.boot).out();
 }
-std::string acceptedPayload(const TakenOn& m, const DiskClock& clock) {
+std::string acceptedPayload(const AcceptedMessage& m, const DiskClock& clock) {
   return Writer(kAccepted)
       .text(m.id)
       .text(m.message_class)
@@ -145,7 +145,7 @@
 std::string neverRanPayload(const std::string& id, std::size_t attempt) {
   return Writer(kNeverRan).text(id).small(attempt).out();
 }
-std::string owedPayload(const std::string& id, const Notice& n) {
+std::string owedPayload(const std::string& id, const CompletionNotice& n) {
   return Writer(kOwed).text(id).small(n.handed_back).number(n.retry_in_ms).out();
 }
 std::string overPayload(const std::string& id) {
@@ -154,7 +154,7 @@
 std::string listPayload(const std::string& list) {
   return Writer(kList).text(list).out();
 }
-std::string ailingPayload(const Ailment& a, const DiskClock& clock) {
+std::string ailingPayload(const HealthRecord& a, const DiskClock& clock) {
   return Writer(kAiling)
       .text(a.endpoint)
       .number(a.destination)
@@ -176,7 +176,7 @@
   return out + numbered;
 }
 
-std::size_t sizeOnDisk(const TakenOn& m) {
+std::size_t sizeOnDisk(const AcceptedMessage& m) {
   return kRecordOverhead + 2 + 6 * 4 + 3 * 8 + m.id.size() + m.message_class.size() + m.tenant.size() +
          m.order_key.size() + m.idempotency_key.size() + m.body.size();
 }
@@ -272,7 +272,7 @@
     return Applied::yes;
   }
   if (type == kAiling) {
-    Ailment a;
+    HealthRecord a;
     a.endpoint = id;
     a.destination = r.number();
     a.down = r.truth();
@@ -316,7 +316,7 @@
       return Applied::contradicts;
     it->second.attempts[n].never_ran = true;
   } else if (type == kOwed) {
-    Notice n;
+    CompletionNotice n;
     n.handed_back = r.truth();
     n.retry_in_ms = r.number();
     if (!open || it->second.ended)
--- a/src/storage/journal_format.h
+++ b/src/storage/journal_format.h
@@ -14,7 +14,7 @@
 
 namespace delivery {
 
-struct TakenOn {  // what a client handed in, as it goes on to the endpoint
+struct AcceptedMessage {  // what a client handed in, as it goes on to the endpoint
   std::string id, message_class, tenant, order_key, idempotency_key, body;
   std::int64_t destination = 0;
   Deadline give_up_at;
@@ -28,16 +28,16 @@
   bool never_ran = false;
 };
 
-struct Notice {
+struct CompletionNotice {
   bool handed_back = false;  // else given up
   std::int64_t retry_in_ms = 0;
 };
 
 struct JournalEntry {
-  TakenOn message;
+  AcceptedMessage message;
   std::vector<JournaledAttempt> attempts;
   bool ended = false;  // its notice is owed
-  Notice notice;
+  CompletionNotice notice;
   std::uint64_t order = 0;
 };
 
@@ -55,15 +55,15 @@
 
 // Payloads of version 2, from the type on.
 std::string headPayload(const JournalHead& h);
-std::string acceptedPayload(const TakenOn& m, const DiskClock& clock);
+std::string acceptedPayload(const AcceptedMessage& m, const DiskClock& clock);
 std::string attemptedPayload(const std::string& id, const JournaledAttempt& a, const DiskClock& clock);
 std::string neverRanPayload(const std::string& id, std::size_t attempt);
-std::string owedPayload(const std::string& id, const Notice& n);
+std::string owedPayload(const std::string& id, const CompletionNotice& n);
 std::string overPayload(const std::string& id);
 std::string listPayload(const std::string& list);
-std::string ailingPayload(const Ailment& a, const DiskClock& clock);
+std::string ailingPayload(const HealthRecord& a, const DiskClock& clock);
 std::string framed(std::uint64_t number, const std::string& payload);
-std::size_t sizeOnDisk(const TakenOn& m);
+std::size_t sizeOnDisk(const AcceptedMessage& m);
 
 // The records of a file, wherever they stand.
 struct JournalScan {
@@ -92,8 +92,8 @@
   void doubt();
 
   std::map<std::string, JournalEntry> entries;
-  std::string list;                                                  // discovery's last, empty if none
-  std::map<std::pair<std::int64_t, std::string>, Ailment> ailments;  // the latest of each
+  std::string list;                                                       // discovery's last, empty if none
+  std::map<std::pair<std::int64_t, std::string>, HealthRecord> ailments;  // the latest of each
 
  private:
   std::uint64_t next_order_ = 0;
--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -20,7 +20,7 @@
   std::vector<std::string> refused;
   for (int i = 0; i < 8; ++i) {
     r.arrive("dear" + std::to_string(i), "keyed", 1);
-    for (const auto& x : r.got<Refuse>())
+    for (const auto& x : r.got<Reject>())
       refused.push_back(x.id);
   }
   ASSERT_GE(refused.size(), 2u);
@@ -36,7 +36,7 @@
     Arrival a = r.arrival("m" + std::to_string(left), "safe", 1);
     a.give_up_at = Deadline::after(r.now, left);
     EXPECT_TRUE(r.run({a}).empty());
-    EXPECT_EQ(r.got<Fail>().size() + r.got<Refuse>().size(), 1u) << left;
+    EXPECT_EQ(r.got<Fail>().size() + r.got<Reject>().size(), 1u) << left;
   }
 }
 
@@ -54,15 +54,15 @@
   lasting.give_up_at = Deadline::after(r.now, 20 * kS);
   r.arrive("first", "safe", 1);
   EXPECT_TRUE(r.run({brief, lasting, elsewhere}).empty());
-  r.at(kS).end("first", 0, Result::full, 100 * kMs, 8 * kS);
-  ASSERT_EQ(r.got<Refuse>().size(), 1u);
-  EXPECT_EQ(r.got<Refuse>()[0].id, "brief");
-  EXPECT_GE(r.got<Refuse>()[0].pause, 8 * kS);
+  r.at(kS).end("first", 0, AttemptResult::throttled, 100 * kMs, 8 * kS);
+  ASSERT_EQ(r.got<Reject>().size(), 1u);
+  EXPECT_EQ(r.got<Reject>()[0].id, "brief");
+  EXPECT_GE(r.got<Reject>()[0].pause, 8 * kS);
   EXPECT_TRUE(r.got<Fail>().empty());
   brief.id = "behind";  // one that comes meanwhile, too
   r.run({brief});
-  ASSERT_EQ(r.got<Refuse>().size(), 1u);
-  EXPECT_EQ(r.got<Refuse>()[0].id, "behind");
+  ASSERT_EQ(r.got<Reject>().size(), 1u);
+  EXPECT_EQ(r.got<Reject>()[0].id, "behind");
 }
 
 TEST(Admission, AWithdrawnMessageIsNeitherSentNorAnsweredAndItsLateOutcomeDoesNoHarm) {
@@ -71,14 +71,15 @@
   Rig r(s);
   r.list({makeEndpoint("e1", 1)});
   r.run({r.arrival("a", "safe", 1), r.arrival("b", "safe", 1), r.arrival("c", "safe", 1)});
-  r.run({Gone{"a"}, Gone{"b"}, Gone{"b"}, Gone{"never seen"}});
-  EXPECT_TRUE(r.acts.empty() || r.got<Send>().empty());
-  Outcome late = r.outcome("a", 0, Result::timeout);
+  r.run({Abandoned{"a"}, Abandoned{"b"}, Abandoned{"b"}, Abandoned{"never seen"}});
+  EXPECT_TRUE(r.acts.empty() || r.got<SendAttempt>().empty());
+  AttemptOutcome late = r.outcome("a", 0, AttemptResult::timeout);
   late.finished = true;
   // After a stall all comes in one heap, also twice and for what is long ended.
-  EXPECT_EQ(r.at(3 * kS).run({late, late, Gone{"a"}, Wake{}, Wake{}, r.outcome("b", 0, Result::ok)}),
+  EXPECT_EQ(r.at(3 * kS).run({late, late, Abandoned{"a"}, TimerFired{}, TimerFired{},
+                              r.outcome("b", 0, AttemptResult::ok)}),
             Ids{"c"});
-  EXPECT_EQ(r.got<Fail>().size() + r.got<Refuse>().size(), 0u);
+  EXPECT_EQ(r.got<Fail>().size() + r.got<Reject>().size(), 0u);
 }
 
 // debrecen-kelet-later big-2: busy senders held four seconds of messages for their few slots, and each was
@@ -87,24 +88,24 @@
   auto refused = [](int senders, bool busy) {
     Settings s = makeSettings();
     s.senders = senders;
-    s.late = LateRule::halves;
+    s.late = LateDecay::halving;
     s.slots = 4;
     Rig r(s);
-    std::vector<Endpoint> all;
+    std::vector<EndpointInfo> all;
     for (int d = 0; d < 50; ++d)
       all.push_back(makeEndpoint("e" + std::to_string(d), d));
     r.list(all);
     for (int i = 0; i < 8; ++i) {
       const std::string id = "w" + std::to_string(i);
       r.at(r.now + kS).arrive(id, "safe", i);
-      r.at(r.now + 500 * kMs).end(id, 0, Result::ok, 500 * kMs);
+      r.at(r.now + 500 * kMs).end(id, 0, AttemptResult::ok, 500 * kMs);
     }
     std::vector<Event> heap;
     for (int i = 0; i < 40; ++i)
       if (busy || i < 4)
         heap.push_back(r.arrival("m" + std::to_string(i), "safe", i));
     r.run(heap);
-    return r.got<Refuse>().size();
+    return r.got<Reject>().size();
   };
   EXPECT_GE(refused(200, true), 20u);  // 36 waiting messages would take 4.5 s, the aim is 2 s
   EXPECT_LE(refused(200, true), 34u);
@@ -123,16 +124,16 @@
   r.list({makeEndpoint("e1", 1)});
   for (int i = 0; i < 9; ++i)
     r.at(r.now + 400 * kMs).arrive("taken" + std::to_string(i), "safe", 1);
-  ASSERT_EQ(r.got<Refuse>().size(), 0u);  // one of them is out, and all wait for it
+  ASSERT_EQ(r.got<Reject>().size(), 0u);  // one of them is out, and all wait for it
   for (int i = 0; i < 4; ++i) {
     const std::string id = "new" + std::to_string(i);
     r.arrive(id, "safe", 1);
-    ASSERT_EQ(r.got<Refuse>().size(), 1u);
-    EXPECT_EQ(r.got<Refuse>()[0].id, id);
+    ASSERT_EQ(r.got<Reject>().size(), 1u);
+    EXPECT_EQ(r.got<Reject>()[0].id, id);
   }
   r.arrive("dear", "keyed", 1);
-  ASSERT_EQ(r.got<Refuse>().size(), 1u);
-  EXPECT_EQ(r.got<Refuse>()[0].id.substr(0, 5), "taken");
+  ASSERT_EQ(r.got<Reject>().size(), 1u);
+  EXPECT_EQ(r.got<Reject>()[0].id.substr(0, 5), "taken");
 }
 
 // Of many senders one with all slots busy refuses at the door what would come late, and keeps what it has
@@ -140,27 +141,27 @@
 TEST(Admission, WithAllSlotsBusyWhatWasTakenOnIsKeptForMostOfItsTime) {
   Settings s = makeSettings();
   s.senders = 200;
-  s.late = LateRule::halves;
+  s.late = LateDecay::halving;
   s.slots = 4;
   Rig r(s);
-  std::vector<Endpoint> all;
+  std::vector<EndpointInfo> all;
   for (int d = 0; d < 50; ++d)
     all.push_back(makeEndpoint("e" + std::to_string(d), d));
   r.list(all);
   for (int i = 0; i < 8; ++i) {
     const std::string id = "w" + std::to_string(i);
     r.at(r.now + kS).arrive(id, "safe", i);
-    r.at(r.now + 500 * kMs).end(id, 0, Result::ok, 500 * kMs);
+    r.at(r.now + 500 * kMs).end(id, 0, AttemptResult::ok, 500 * kMs);
   }
   for (int i = 0; i < 4; ++i)
     r.arrive("out" + std::to_string(i), "safe", i);
   for (int i = 4; i < 12; ++i)
     r.arrive("taken" + std::to_string(i), "safe", i);
-  ASSERT_EQ(r.got<Refuse>().size(), 0u);  // so far the wait for a slot is short
+  ASSERT_EQ(r.got<Reject>().size(), 0u);  // so far the wait for a slot is short
   const Micros deadline = r.set.classes[0].deadline, from = r.now;
   std::vector<std::string> refused;
   const auto take = [&] {
-    for (const Refuse& x : r.got<Refuse>())
+    for (const Reject& x : r.got<Reject>())
       refused.push_back(x.id);
   };
   std::vector<Event> heap;
--- a/tests/decision/attempts_test.cpp
+++ b/tests/decision/attempts_test.cpp
@@ -13,16 +13,16 @@
   Rig r;
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   EXPECT_EQ(r.arrive("p", "unsafe", 1), Ids{"p"});
-  EXPECT_TRUE(r.at(kS).end("p", 0, Result::reset).empty());
+  EXPECT_TRUE(r.at(kS).end("p", 0, AttemptResult::reset).empty());
   EXPECT_EQ(r.got<Fail>().size(), 1u);
-  EXPECT_TRUE(r.got<Refuse>().empty());
+  EXPECT_TRUE(r.got<Reject>().empty());
 }
 
 TEST(Attempts, UnsafeThatProvablyNeverRanGoesAgain) {
   Rig r;
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   r.arrive("p", "unsafe", 1);
-  Ids sent = r.at(kS).end("p", 0, Result::connect_failed);
+  Ids sent = r.at(kS).end("p", 0, AttemptResult::connect_failed);
   for (int i = 1; i < 40 && sent.empty(); ++i)
     sent = r.at(kS + i * 100 * kMs).wake();
   EXPECT_EQ(sent, Ids{"p"});
@@ -37,10 +37,10 @@
   for (int i = 0; i < 4; ++i)
     all.push_back(r.arrival("m" + std::to_string(i), "safe", 1));
   EXPECT_EQ(r.run(all).size(), 3u);
-  r.at(50 * kMs).end("m0", 0, Result::ok);
-  r.end("m1", 0, Result::ok);
+  r.at(50 * kMs).end("m0", 0, AttemptResult::ok);
+  r.end("m1", 0, AttemptResult::ok);
   EXPECT_TRUE(r.wake().empty());  // the slot is taken until the last has its outcome
-  EXPECT_EQ(r.at(2 * kS).end("m2", 0, Result::ok), Ids{"m3"});
+  EXPECT_EQ(r.at(2 * kS).end("m2", 0, AttemptResult::ok), Ids{"m3"});
 }
 
 // big-1 of debrecen-kelet-later: all senders chose the endpoint that the list names first, and its
@@ -68,9 +68,9 @@
     for (int i = 0; i < 40; ++i) {
       const std::string id = "m" + std::to_string(i);
       r.at(r.now + gap).arrive(id, "safe", 1);
-      r.at(r.now + 50 * kMs).end(id, 0, Result::ok, 50 * kMs);
+      r.at(r.now + 50 * kMs).end(id, 0, AttemptResult::ok, 50 * kMs);
       if (i >= 20)
-        n += r.got<CloseIdle>().size();
+        n += r.got<CloseIdleConnections>().size();
     }
     return n;
   };
@@ -85,7 +85,7 @@
   Rig r(s);
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   r.arrive("m", "safe", 1);
-  r.at(100 * kMs).end("m", 0, Result::error);
+  r.at(100 * kMs).end("m", 0, AttemptResult::error);
   Ids sent;
   while (sent.empty() && r.now < 19 * kS)
     sent = r.at(r.now + 50 * kMs).wake();
@@ -104,21 +104,21 @@
     Rig r(s);
     r.list({makeEndpoint("e1", 1)});
     int n = 0;
-    auto call = [&](Result result) {
+    auto call = [&](AttemptResult result) {
       const std::string id = "m" + std::to_string(n++);
       r.at(r.now + 100 * kMs).arrive(id, "safe", 1);
       r.at(r.now + 50 * kMs).end(id, 0, result, 50 * kMs);
-      return r.got<CloseIdle>().empty();
+      return r.got<CloseIdleConnections>().empty();
     };
     for (int i = 0; i < 200; ++i)
-      call(Result::ok);
-    EXPECT_TRUE(call(Result::ok));  // busy enough to be worth keeping
-    call(Result::connect_failed);
+      call(AttemptResult::ok);
+    EXPECT_TRUE(call(AttemptResult::ok));  // busy enough to be worth keeping
+    call(AttemptResult::connect_failed);
     std::vector<std::string> sent;
     while (sent.empty())
       sent = r.at(r.now + 50 * kMs).wake();
-    r.at(r.now + 50 * kMs).end(sent[0], 1, Result::ok, 50 * kMs);
-    return r.got<CloseIdle>().empty();
+    r.at(r.now + 50 * kMs).end(sent[0], 1, AttemptResult::ok, 50 * kMs);
+    return r.got<CloseIdleConnections>().empty();
   };
   EXPECT_FALSE(kept_after_a_failure(200));
   EXPECT_TRUE(kept_after_a_failure(2));  // so few can't fill a table: the endpoint was away
@@ -135,7 +135,7 @@
     Rig r(s, seed);
     r.list({makeEndpoint("e1", 1)});
     r.arrive("m", "safe", 1);
-    r.at(50 * kMs).end("m", 0, Result::connect_failed, 50 * kMs);
+    r.at(50 * kMs).end("m", 0, AttemptResult::connect_failed, 50 * kMs);
     while (r.at(r.now + 10 * kMs).wake().empty() && r.now < 19 * kS)
       continue;
     EXPECT_GE(r.now, 2 * kS);  // an aim
--- a/tests/decision/bound_test.cpp
+++ b/tests/decision/bound_test.cpp
@@ -12,7 +12,7 @@
   Rig r;
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   r.arrive("m1", "safe", 1);
-  r.at(100 * kMs).end("m1", 0, Result::full, 10 * kMs, 700 * kMs);
+  r.at(100 * kMs).end("m1", 0, AttemptResult::throttled, 10 * kMs, 700 * kMs);
   EXPECT_TRUE(r.at(200 * kMs).arrive("m2", "safe", 1).empty());
   EXPECT_TRUE(r.at(790 * kMs).wake().empty());
   Ids later;
@@ -41,10 +41,11 @@
     out.push_back(id);
   const Micros back = 8 * kS;
   for (Micros t = 100 * kMs; t < 40 * kS; t += 20 * kMs) {
-    std::vector<Event> events{Wake{}};
+    std::vector<Event> events{TimerFired{}};
     r.at(t);
     for (const auto& id : out)
-      events.push_back(r.outcome(id, tries[id]++, t < back ? Result::connect_failed : Result::ok, 20 * kMs));
+      events.push_back(
+          r.outcome(id, tries[id]++, t < back ? AttemptResult::connect_failed : AttemptResult::ok, 20 * kMs));
     out = r.run(events);
     for (std::size_t i = 0; i < out.size(); ++i)
       if (t >= back)
@@ -64,10 +65,10 @@
   Ids out = r.run(all);
   std::size_t n = out.size();
   for (int i = 0; i < steps; ++i) {
-    std::vector<Event> events{Wake{}};
+    std::vector<Event> events{TimerFired{}};
     r.at(r.now + 50 * kMs);
     for (const auto& id : out)
-      events.emplace_back(r.outcome(id, tries[id]++, Result::ok, 50 * kMs));
+      events.emplace_back(r.outcome(id, tries[id]++, AttemptResult::ok, 50 * kMs));
     out = r.run(events);
     n += out.size();
   }
@@ -83,7 +84,7 @@
     Rig r(s);
     r.list({makeEndpoint("e1", 1, "shared", 10)});
     r.arrive("x", "safe", 1);
-    r.at(100 * kMs).end("x", 0, refused ? Result::full : Result::ok);
+    r.at(100 * kMs).end("x", 0, refused ? AttemptResult::throttled : AttemptResult::ok);
     std::vector<Event> all;
     for (int i = 0; i < 100; ++i)
       all.emplace_back(r.arrival("m" + std::to_string(i), "safe", 1));
@@ -108,12 +109,12 @@
     r.at(t);
     const bool refuses = t >= from && t < until;
     for (const auto& id : out)
-      events.push_back(r.outcome(id, tries[id]++, refuses ? Result::full : Result::ok));
+      events.push_back(r.outcome(id, tries[id]++, refuses ? AttemptResult::throttled : AttemptResult::ok));
     if (!refuses)
       served += out.size();
     if (t % (100 * kMs) == 0)
       events.push_back(r.arrival("m" + std::to_string(arrived++), "safe", 1));
-    events.push_back(Wake{});
+    events.push_back(TimerFired{});
     out = r.run(events);
   }
   return static_cast<double>(arrived - served) / 10;
@@ -153,7 +154,7 @@
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 10)});
   r.arrive("m1", "safe", 1);
-  r.at(kS).end("m1", 0, Result::timeout, kS);
+  r.at(kS).end("m1", 0, AttemptResult::timeout, kS);
   std::size_t n = 0;
   for (int i = 0; i < 10; ++i)
     n += r.at(r.now + 200 * kMs).arrive("x" + std::to_string(i), "safe", 1).size();
@@ -169,15 +170,15 @@
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 30)});
   r.arrive("m", "safe", 1);
-  r.at(100 * kMs).end("m", 0, Result::ok);
+  r.at(100 * kMs).end("m", 0, AttemptResult::ok);
   r.at(kS).arrive("x", "safe", 1);
-  r.at(kS + 100 * kMs).end("x", 0, Result::full);
+  r.at(kS + 100 * kMs).end("x", 0, AttemptResult::throttled);
   for (int i = 0; i < 5; ++i) {
     Arrival hasty = r.at(r.now + 10 * kMs).arrival("hasty" + std::to_string(i), "safe", 1);
     hasty.give_up_at = Deadline::after(r.now, 165 * kMs);
     const Ids sent = r.run({hasty});
     ASSERT_EQ(sent.size(), 1u) << i;
-    r.at(r.now + 50 * kMs).end(sent[0], 0, Result::ok, 50 * kMs);
+    r.at(r.now + 50 * kMs).end(sent[0], 0, AttemptResult::ok, 50 * kMs);
   }
   r.at(r.now + 10 * kMs).arrive("patient", "safe", 1);
   Ids sent;
@@ -196,9 +197,9 @@
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 10)});
   r.arrive("m", "safe", 1);
-  r.at(100 * kMs).end("m", 0, Result::ok);
+  r.at(100 * kMs).end("m", 0, AttemptResult::ok);
   r.at(kS).arrive("x", "safe", 1);
-  r.at(kS + 100 * kMs).end("x", 0, Result::full);  // no wait told: the next calls are paced
+  r.at(kS + 100 * kMs).end("x", 0, AttemptResult::throttled);  // no wait told: the next calls are paced
   r.at(kS + 110 * kMs);
   Arrival patient = r.arrival("patient", "safe", 1), hasty = r.arrival("hasty", "safe", 1);
   hasty.give_up_at = Deadline::after(r.now, 250 * kMs);
@@ -214,7 +215,7 @@
     Rig r(s, seed);
     r.list({makeEndpoint("e1", 1)});
     r.arrive("m", "safe", 1);
-    r.at(50 * kMs).end("m", 0, Result::full, 50 * kMs, 3 * kS);
+    r.at(50 * kMs).end("m", 0, AttemptResult::throttled, 50 * kMs, 3 * kS);
     Ids sent;
     for (Micros t = 100 * kMs; sent.empty() && t < 19 * kS; t += 50 * kMs)
       sent = r.at(t).wake();
@@ -234,11 +235,11 @@
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 10)});
   r.arrive("m", "safe", 1);
-  r.at(kS).end("m", 0, Result::timeout, kS);
+  r.at(kS).end("m", 0, AttemptResult::timeout, kS);
   int tries = 1;
   while (r.now < 19 * kS)
     if (!r.at(r.now + 50 * kMs).wake().empty())
-      r.end("m", tries++, Result::timeout, 50 * kMs);
+      r.end("m", tries++, AttemptResult::timeout, 50 * kMs);
   EXPECT_LE(tries, 2);
 }
 
@@ -252,7 +253,7 @@
     Rig r(s, seed);
     r.list({makeEndpoint("e1", 1)});
     r.arrive("m", "safe", 1);
-    r.at(kS).end("m", 0, Result::timeout, kS);
+    r.at(kS).end("m", 0, AttemptResult::timeout, kS);
     at_once += !r.at(kS + 10 * kMs).arrive("next", "safe", 1).empty();
   }
   EXPECT_LE(at_once, 5);
--- a/tests/decision/health_test.cpp
+++ b/tests/decision/health_test.cpp
@@ -13,13 +13,13 @@
   Settings s = makeSettings();
   s.conn_idle = 60 * kS;
   Rig r(s);
-  std::vector<Endpoint> all;
+  std::vector<EndpointInfo> all;
   for (int d = 1; d <= 6; ++d)
     all.push_back(makeEndpoint("e" + std::to_string(d), d));
   r.list(all);
   Micros t = 0;
   int n = 0;
-  auto call = [&](int d, Result result, Micros rtt) {
+  auto call = [&](int d, AttemptResult result, Micros rtt) {
     const std::string id = "m" + std::to_string(n++);
     r.at(t).arrive(id, "safe", d);
     r.at(t + rtt).wake();  // an overdue call is noticed while it is out
@@ -28,20 +28,20 @@
   };
   for (int i = 0; i < 10; ++i)
     for (int d = 1; d <= 6; ++d)
-      call(d, Result::ok, 100 * kMs);
-  EXPECT_TRUE(r.got<CloseIdle>().empty());
+      call(d, AttemptResult::ok, 100 * kMs);
+  EXPECT_TRUE(r.got<CloseIdleConnections>().empty());
   for (int d = 1; d <= 5; ++d) {
     t += kS;
-    call(d, Result::timeout, 900 * kMs);  // lost on the reused connection
+    call(d, AttemptResult::timeout, 900 * kMs);  // lost on the reused connection
     std::vector<std::string> sent;
     while (sent.empty())
       sent = r.at(t += 50 * kMs).wake();
-    r.at(t += 100 * kMs).end(sent[0], 1, Result::ok);  // its further try, on a fresh one
+    r.at(t += 100 * kMs).end(sent[0], 1, AttemptResult::ok);  // its further try, on a fresh one
   }
   t = r.now + kS;
   EXPECT_EQ(r.at(t).arrive("last", "safe", 6).size(), 1u);
-  ASSERT_EQ(r.got<CloseIdle>().size(), 1u);
-  EXPECT_EQ(r.got<CloseIdle>()[0].endpoint, "e6");
+  ASSERT_EQ(r.got<CloseIdleConnections>().size(), 1u);
+  EXPECT_EQ(r.got<CloseIdleConnections>()[0].endpoint, "e6");
 }
 
 // ticket5282: slow calls that were called off or timed out on connections that had just been in use passed
@@ -51,34 +51,34 @@
   Settings s = makeSettings();
   s.conn_idle = 60 * kS;
   Rig r(s);
-  std::vector<Endpoint> all;
+  std::vector<EndpointInfo> all;
   for (int d = 1; d <= 6; ++d)
     all.push_back(makeEndpoint("e" + std::to_string(d), d));
   r.list(all);
   Micros t = 0;
   int n = 0;
   std::size_t closed = 0;
-  auto call = [&](int d, Result result, Micros rtt) {
+  auto call = [&](int d, AttemptResult result, Micros rtt) {
     const std::string id = "m" + std::to_string(n++);
     r.at(t).arrive(id, "safe", d);
-    closed += r.got<CloseIdle>().size();
+    closed += r.got<CloseIdleConnections>().size();
     r.at(t + rtt).wake();
     r.at(t + rtt + 1).end(id, 0, result, rtt);
     t += rtt + 10 * kMs;
   };
   for (int round = 0; round < 8; ++round) {
     for (int d = 1; d <= 6; ++d)
-      call(d, Result::ok, 100 * kMs);
+      call(d, AttemptResult::ok, 100 * kMs);
     if (round < 3)
       continue;
-    call(6, Result::timeout, 900 * kMs);  // on the connection used 10 ms ago
+    call(6, AttemptResult::timeout, 900 * kMs);  // on the connection used 10 ms ago
     std::vector<std::string> sent;
     while (sent.empty())
       sent = r.at(t += 50 * kMs).wake();
-    r.at(t += 100 * kMs).end(sent[0], 1, Result::ok);  // its further try, on a fresh one
+    r.at(t += 100 * kMs).end(sent[0], 1, AttemptResult::ok);  // its further try, on a fresh one
     t += 10 * kMs;
   }
-  call(5, Result::ok, 100 * kMs);
+  call(5, AttemptResult::ok, 100 * kMs);
   EXPECT_EQ(closed, 0u);
 }
 
@@ -90,13 +90,13 @@
   s.conn_idle = 60 * kS;
   s.max_attempts = 3;
   Rig r(s);
-  std::vector<Endpoint> all;
+  std::vector<EndpointInfo> all;
   for (int d = 1; d <= 3; ++d)
     for (const char* e : {"a", "b"})
       all.push_back(makeEndpoint(e + std::to_string(d), d));
   r.list(all);
   int n = 0;
-  auto call = [&](int d, Result result, Micros rtt) {
+  auto call = [&](int d, AttemptResult result, Micros rtt) {
     const std::string id = "m" + std::to_string(n++);
     r.at(r.now + 10 * kMs).arrive(id, "safe", d);
     r.at(r.now + rtt).wake();
@@ -106,19 +106,19 @@
   // Busy enough that connections are worth keeping.
   for (int i = 0; i < 200; ++i)
     for (int d = 1; d <= 3; ++d)
-      call(d, Result::ok, 20 * kMs);
+      call(d, AttemptResult::ok, 20 * kMs);
   for (int d = 1; d <= 2; ++d) {
     r.at(r.now + 2 * kS);
-    const std::string lost = call(d, Result::timeout, 900 * kMs);
+    const std::string lost = call(d, AttemptResult::timeout, 900 * kMs);
     const std::string first = r.where[lost];
     std::vector<std::string> sent;
     while (sent.empty())
       sent = r.at(r.now + 50 * kMs).wake();
     EXPECT_NE(r.where[lost], first);
-    r.at(r.now + 50 * kMs).end(sent[0], 1, Result::ok, 50 * kMs);
+    r.at(r.now + 50 * kMs).end(sent[0], 1, AttemptResult::ok, 50 * kMs);
   }
   r.at(r.now + 3 * kS).arrive("last", "safe", 3);
-  EXPECT_EQ(r.got<CloseIdle>().size(), 1u);
+  EXPECT_EQ(r.got<CloseIdleConnections>().size(), 1u);
 }
 
 // rough-2 of budapest-kozpont, ie55d22: several destinations hang together; calls that were out when they
@@ -134,17 +134,17 @@
     for (int i = 0; i < 10; ++i) {
       const std::string id = "w" + std::to_string(d * 100 + i);
       r.at(r.now + 300 * kMs).arrive(id, "safe", d);
-      r.at(r.now + 100 * kMs).end(id, 0, Result::ok);
+      r.at(r.now + 100 * kMs).end(id, 0, AttemptResult::ok);
     }
   r.at(r.now + kS)
       .run({r.arrival("p", "unsafe", 1), r.arrival("a", "safe", 1), r.arrival("b", "safe", 2),
             r.arrival("c", "safe", 2)});
   r.at(r.now + 700 * kMs).arrive("healthy", "safe", 3);
-  const auto off = r.got<Cancel>();
+  const auto off = r.got<CancelAttempt>();
   ASSERT_EQ(off.size(), 2u);
   EXPECT_NE(off[0].id, "p");
   EXPECT_NE(off[1].id, "p");
-  Outcome o = r.outcome(off[0].id, 0, Result::cancelled);
+  AttemptOutcome o = r.outcome(off[0].id, 0, AttemptResult::cancelled);
   EXPECT_EQ(r.at(r.now + 5 * kMs).run({o}), std::vector<std::string>{"healthy"});
 }
 
@@ -160,7 +160,7 @@
   for (int i = 0; i < 20; ++i) {
     const std::string id = "w" + std::to_string(i);
     r.at(r.now + 300 * kMs).arrive(id, "safe", 1);
-    r.at(r.now + 100 * kMs).end(id, 0, Result::ok);
+    r.at(r.now + 100 * kMs).end(id, 0, AttemptResult::ok);
   }
   r.at(r.now + kS).run({r.arrival("a", "safe", 1), r.arrival("b", "safe", 1), r.arrival("c", "safe", 1)});
   r.at(r.now + kS);
@@ -180,14 +180,14 @@
   Settings s = makeSettings();
   s.slots = 4;
   Rig r(s);
-  std::vector<Endpoint> all;
+  std::vector<EndpointInfo> all;
   for (int d = 1; d <= 6; ++d)
     all.push_back(makeEndpoint("e" + std::to_string(d), d));
   r.list(all);
   for (int d = 1; d <= 6; ++d) {
     const std::string id = "w" + std::to_string(d);
     r.at(r.now + 300 * kMs).arrive(id, "safe", d);
-    r.at(r.now + 100 * kMs).end(id, 0, Result::ok);
+    r.at(r.now + 100 * kMs).end(id, 0, AttemptResult::ok);
   }
   r.at(r.now + kS).run({r.arrival("a", "safe", 1), r.arrival("b", "safe", 2)});
   r.at(r.now + 600 * kMs).wake();  // both overdue now: the lane of two is full
@@ -203,7 +203,7 @@
   for (int i = 0; i < 20; ++i) {
     const std::string id = "warm" + std::to_string(i);
     ASSERT_EQ(1u, rig.arrive(id, "safe", 1).size());
-    rig.at(rig.now + rig.set.tick).end(id, 0, Result::ok, 100);  // answered in 0.1 ms
+    rig.at(rig.now + rig.set.tick).end(id, 0, AttemptResult::ok, 100);  // answered in 0.1 ms
   }
   ASSERT_EQ(1u, rig.arrive("payment", "unsafe", 1).size());
   EXPECT_GE(rig.timeout["payment"], rig.set.tick);
--- a/tests/decision/membership_test.cpp
+++ b/tests/decision/membership_test.cpp
@@ -11,27 +11,27 @@
 TEST(Membership, NothingNewToADrainingEndpoint) {
   Rig r;
   r.list({makeEndpoint("e1", 1)});
-  Endpoint e = makeEndpoint("e1", 1);
+  EndpointInfo e = makeEndpoint("e1", 1);
   e.state = EndpointState::draining;
-  r.at(kS).list({e}, ListKind::delta);
+  r.at(kS).list({e}, EndpointUpdateKind::delta);
   EXPECT_TRUE(r.at(kS + 5 * kMs).arrive("m1", "safe", 1).empty());
   EXPECT_TRUE(r.at(19 * kS).wake().empty());
   r.at(kS + 20 * kS).wake();
-  EXPECT_EQ(r.got<Fail>().size() + r.got<Refuse>().size(), 1u);
+  EXPECT_EQ(r.got<Fail>().size() + r.got<Reject>().size(), 1u);
 }
 
 TEST(Membership, AFailedSubscriptionIsAskedForAgain) {
   Settings s = makeSettings();
-  s.list = ListMode::ask;
+  s.list = DiscoveryMode::poll;
   Rig r(s);
   r.list({makeEndpoint("e1", 1)});
-  EXPECT_EQ(r.got<delivery::Watch>().size(), 1u);
-  r.at(kS).run({ListUpdate{ListKind::failed, {}}});
-  EXPECT_TRUE(r.got<delivery::Watch>().empty());
+  EXPECT_EQ(r.got<delivery::SubscribeEndpoints>().size(), 1u);
+  r.at(kS).run({EndpointsChanged{EndpointUpdateKind::failed, {}}});
+  EXPECT_TRUE(r.got<delivery::SubscribeEndpoints>().empty());
   std::size_t asked = 0;
   for (int i = 0; i < 100; ++i) {
     r.at(kS + (i + 1) * 50 * kMs).wake();
-    asked += r.got<delivery::Watch>().size();
+    asked += r.got<delivery::SubscribeEndpoints>().size();
   }
   EXPECT_EQ(asked, 1u);
 }
@@ -39,7 +39,7 @@
 TEST(Membership, EventsThatNameNothingChangeNothing) {
   Rig r;
   r.list({makeEndpoint("e1", 1)});
-  EXPECT_TRUE(r.run({Outcome{}, Gone{"nobody"}}).empty());
+  EXPECT_TRUE(r.run({AttemptOutcome{}, Abandoned{"nobody"}}).empty());
   EXPECT_TRUE(r.arrive("odd", "no such class", 1).empty());
   EXPECT_EQ(r.got<Fail>().size(), 1u);  // it owes an answer all the same
   EXPECT_EQ(r.arrive("m", "safe", 1), Ids{"m"});
--- a/tests/decision/property_test.cpp
+++ b/tests/decision/property_test.cpp
@@ -1,5 +1,5 @@
-// A long random but legal sequence of events against one Sender, without any model of servers: after each
-// turn the rules that a sender can see by itself must hold.
+// A long random but legal sequence of events against one DeliveryScheduler, without any model of servers:
+// after each turn the rules that a sender can see by itself must hold.
 #include <algorithm>
 #include <deque>
 #include <random>
@@ -15,7 +15,7 @@
   std::string endpoint;
   Micros sent = 0;
   bool out = true, may_have_run = true;
-  Result last = Result::ok;
+  AttemptResult last = AttemptResult::ok;
 };
 struct Msg {
   const MessageClass* cls = nullptr;
@@ -36,7 +36,7 @@
         list_.push_back(makeEndpoint(id, d, set_.kinds[static_cast<std::size_t>(d) % set_.kinds.size()].name,
                                      1 + below(20), below(2) ? "a" : "b"));
       }
-    turn({ListUpdate{ListKind::cached, list_}});
+    turn({EndpointsChanged{EndpointUpdateKind::cached, list_}});
   }
 
   void step() {
@@ -46,17 +46,17 @@
       now_ += 3 * kS;  // the host was away
     if (wake_ > 0 && now_ >= wake_) {
       wake_ = 0;
-      events.push_back(Wake{});
+      events.push_back(TimerFired{});
     }
     for (auto& [id, m] : msgs_)
       if (!m.ended && m.order > 0 && below(300) == 0) {  // nobody wants it any more
         m.ended = true;
-        events.push_back(Gone{id});
+        events.push_back(Abandoned{id});
       }
     for (auto& [id, m] : msgs_)  // time-outs first: they can't come late
       for (std::size_t i = 0; i < m.tries.size(); ++i)
         if (m.tries[i].out && due_[{id, static_cast<int>(i)}] <= now_)
-          events.push_back(end(id, static_cast<int>(i), Result::timeout));
+          events.push_back(end(id, static_cast<int>(i), AttemptResult::timeout));
     for (int n = below(4); n > 0; --n)
       arrive(events);
     for (auto& [id, m] : msgs_)
@@ -66,9 +66,9 @@
     if (below(60) == 0)
       changeList(events);
     if (below(90) == 0)
-      events.push_back(ListUpdate{ListKind::failed, {}});
+      events.push_back(EndpointsChanged{EndpointUpdateKind::failed, {}});
     if (below(50) == 0)
-      events.push_back(Outcome{});  // names nothing
+      events.push_back(AttemptOutcome{});  // names nothing
     if (!events.empty())
       turn(events);
   }
@@ -80,12 +80,12 @@
       std::vector<Event> events;
       if (wake_ > 0 && now_ >= wake_) {
         wake_ = 0;
-        events.push_back(Wake{});
+        events.push_back(TimerFired{});
       }
       for (auto& [id, m] : msgs_)
         for (std::size_t i = 0; i < m.tries.size(); ++i)
           if (m.tries[i].out && due_[{id, static_cast<int>(i)}] <= now_)
-            events.push_back(end(id, static_cast<int>(i), Result::timeout));
+            events.push_back(end(id, static_cast<int>(i), AttemptResult::timeout));
       if (!events.empty())
         turn(events);
     }
@@ -98,11 +98,12 @@
  private:
   int below(int n) { return static_cast<int>(rnd_() % static_cast<std::uint64_t>(n)); }
 
-  Result anyResult(std::int64_t dest) {
-    const Result bad[] = {Result::error, Result::full, Result::connect_failed, Result::reset,
-                          Result::not_sent};
+  AttemptResult anyResult(std::int64_t dest) {
+    const AttemptResult bad[] = {AttemptResult::error, AttemptResult::throttled,
+                                 AttemptResult::connect_failed, AttemptResult::reset,
+                                 AttemptResult::not_sent};
     const bool ill = (now_ / (7 * kS) + dest) % 3 == 0;
-    return below(10) < (ill ? 8 : 1) ? bad[below(5)] : Result::ok;
+    return below(10) < (ill ? 8 : 1) ? bad[below(5)] : AttemptResult::ok;
   }
 
   void arrive(std::vector<Event>& events) {
@@ -130,64 +131,66 @@
     msgs_[id] = m;
   }
 
-  Outcome end(const std::string& id, int i, Result r) {
+  AttemptOutcome end(const std::string& id, int i, AttemptResult r) {
     Msg& m = msgs_[id];
     Try& t = m.tries[static_cast<std::size_t>(i)];
     t.out = false;
     t.last = r;
-    t.may_have_run = r != Result::full && r != Result::connect_failed && r != Result::not_sent;
-    if (!m.key.empty() && (r == Result::timeout || r == Result::reset || r == Result::cancelled))
+    t.may_have_run =
+        r != AttemptResult::throttled && r != AttemptResult::connect_failed && r != AttemptResult::not_sent;
+    if (!m.key.empty() &&
+        (r == AttemptResult::timeout || r == AttemptResult::reset || r == AttemptResult::cancelled))
       quiet_[m.key] = std::max(quiet_[m.key], now_ + set_.order_pause);
-    Outcome o;
+    AttemptOutcome o;
     o.id = id;
     o.attempt = i;
     o.result = r;
     o.rtt = now_ - t.sent;
-    if (r == Result::ok)
+    if (r == AttemptResult::ok)
       m.ended = true;
     o.finished = m.ended;
-    if (r == Result::full && below(2)) {
+    if (r == AttemptResult::throttled && below(2)) {
       o.wait = (1 + below(900)) * kMs;
       const bool apart = kindOf(t.endpoint).routes_apart;
       Micros& w = waits_[apart ? t.endpoint : "d" + std::to_string(m.dest)];
       w = std::max(w, now_ + o.wait);
     }
     if (below(2))
-      o.report = LimitReport{0.5, 1.0 + below(30)};
+      o.report = LoadReport{0.5, 1.0 + below(30)};
     return o;
   }
 
-  const Kind& kindOf(const std::string& endpoint) {
-    for (const Endpoint& e : list_)
+  const DestinationKind& kindOf(const std::string& endpoint) {
+    for (const EndpointInfo& e : list_)
       if (e.id == endpoint)
-        for (const Kind& k : set_.kinds)
+        for (const DestinationKind& k : set_.kinds)
           if (k.name == e.kind)
             return k;
     return set_.kinds[0];
   }
 
   void changeList(std::vector<Event>& events) {
-    Endpoint& e = list_[static_cast<std::size_t>(below(static_cast<int>(list_.size())))];
-    e.state = e.state == EndpointState::ready ? (below(2) ? EndpointState::draining : EndpointState::gone)
+    EndpointInfo& e = list_[static_cast<std::size_t>(below(static_cast<int>(list_.size())))];
+    e.state = e.state == EndpointState::ready ? (below(2) ? EndpointState::draining : EndpointState::removed)
                                               : EndpointState::ready;
     off_[e.id] = e.state == EndpointState::ready ? -1 : now_;
-    events.push_back(ListUpdate{ListKind::delta, {e}});
+    events.push_back(EndpointsChanged{EndpointUpdateKind::delta, {e}});
   }
 
   void turn(const std::vector<Event>& events) {
     std::map<std::string, int> sent_to;
     for (const Action& a : sender_.decide(now_, events)) {
-      if (const auto* s = std::get_if<Send>(&a)) {
+      if (const auto* s = std::get_if<SendAttempt>(&a)) {
         onSend(*s);
         ++sent_to[s->endpoint];
       }
-      if (const auto* r = std::get_if<Refuse>(&a))
+      if (const auto* r = std::get_if<Reject>(&a))
         final(r->id, true);
       if (const auto* f = std::get_if<Fail>(&a))
         final(f->id, false);
-      if (const auto* w = std::get_if<WakeIn>(&a))
+      if (const auto* w = std::get_if<SetTimer>(&a))
         wake_ = wake_ > now_ ? std::min(wake_, now_ + w->span) : now_ + w->span;
-      if (const auto* c = std::get_if<Cancel>(&a))
+      if (const auto* c = std::get_if<CancelAttempt>(&a))
         due_[{c->id, c->attempt}] = now_;
     }
     int slots = 0;
@@ -215,19 +218,19 @@
     if (!refuse)
       return;
     const bool ran = std::any_of(m.tries.begin(), m.tries.end(), [](const Try& t) { return t.may_have_run; });
-    if (ran && m.cls->effect == Effect::unsafe)
+    if (ran && m.cls->effect == Idempotency::non_idempotent)
       ADD_FAILURE() << "refused what may have run: " << id;
-    if (ran && m.cls->effect == Effect::keyed)
-      EXPECT_EQ(m.cls->group, RepeatGroup::all) << id;
+    if (ran && m.cls->effect == Idempotency::with_key)
+      EXPECT_EQ(m.cls->group, DeduplicationScope::all) << id;
   }
 
-  void onSend(const Send& s) {
+  void onSend(const SendAttempt& s) {
     ASSERT_TRUE(msgs_.count(s.id)) << s.id;
     Msg& m = msgs_[s.id];
     EXPECT_FALSE(m.ended) << "sent after its end: " << s.id;
     EXPECT_LT(static_cast<int>(m.tries.size()), set_.max_attempts);
-    const Endpoint* e = nullptr;
-    for (const Endpoint& x : list_)
+    const EndpointInfo* e = nullptr;
+    for (const EndpointInfo& x : list_)
       if (x.id == s.endpoint)
         e = &x;
     ASSERT_NE(e, nullptr);
@@ -244,12 +247,12 @@
         EXPECT_TRUE(set_.may_copy) << s.id;
       if (!t.may_have_run)
         continue;
-      EXPECT_NE(m.cls->effect, Effect::unsafe) << "unsafe sent twice: " << s.id;
-      if (m.cls->effect != Effect::keyed)
+      EXPECT_NE(m.cls->effect, Idempotency::non_idempotent) << "unsafe sent twice: " << s.id;
+      if (m.cls->effect != Idempotency::with_key)
         continue;
       EXPECT_LE(now_, t.sent + m.cls->memory);
-      for (const Endpoint& x : list_)
-        if (x.id == t.endpoint && m.cls->group == RepeatGroup::zone)
+      for (const EndpointInfo& x : list_)
+        if (x.id == t.endpoint && m.cls->group == DeduplicationScope::zone)
           EXPECT_EQ(x.zone, e->zone);
     }
     if (!m.key.empty()) {
@@ -262,16 +265,16 @@
       if (m.tries.empty() && quiet_.count(m.key))
         EXPECT_GE(now_, quiet_[m.key]) << m.key;
     }
-    m.tries.push_back({s.endpoint, now_, true, true, Result::ok});
+    m.tries.push_back({s.endpoint, now_, true, true, AttemptResult::ok});
     due_[{s.id, static_cast<int>(m.tries.size()) - 1}] = now_ + s.timeout;
   }
 
   Settings set_;
   std::mt19937_64 rnd_;
-  Sender sender_;
+  DeliveryScheduler sender_;
   Micros now_ = 0, wake_ = 0;
   int count_ = 0;
-  std::vector<Endpoint> list_;
+  std::vector<EndpointInfo> list_;
   std::map<std::string, Msg> msgs_;
   std::map<std::pair<std::string, int>, Micros> due_;
   std::map<std::string, Micros> waits_, quiet_, off_;
@@ -286,16 +289,16 @@
     s.max_attempts = 2 + variant % 6;
     s.may_copy = variant % 3 == 0;
     s.may_cancel = variant % 2 == 0;
-    s.list = variant % 2 ? ListMode::ask : ListMode::push;
+    s.list = variant % 2 ? DiscoveryMode::poll : DiscoveryMode::push;
     s.weights = variant % 3 == 1 ? WeightKind::nominal : WeightKind::none;
-    s.late = variant % 2 ? LateRule::halves : LateRule::line;
+    s.late = variant % 2 ? LateDecay::halving : LateDecay::linear;
     s.senders = variant % 4 == 3 ? 200 : 1 + variant % 4;
     s.order_pause = 300 * kMs;
     if (variant % 2)
       s.tenants = {{"t", 2.0, 0.5}};
     s.classes[static_cast<std::size_t>(variant % 3)].ordered = true;
     if (variant % 4 == 1)
-      s.classes[1].group = RepeatGroup::zone;
+      s.classes[1].group = DeduplicationScope::zone;
     World w(s, static_cast<std::uint64_t>(variant) + 1);
     for (int i = 0; i < 1500; ++i)
       w.step();
--- a/tests/decision/restart_test.cpp
+++ b/tests/decision/restart_test.cpp
@@ -7,9 +7,9 @@
 namespace delivery {
 namespace {
 
-Resumed resumed(const Rig& rig, const std::string& id, const std::string& cls,
-                std::vector<PastAttempt> past) {
-  Resumed r;
+RecoveredMessage resumed(const Rig& rig, const std::string& id, const std::string& cls,
+                         std::vector<RecoveredAttempt> past) {
+  RecoveredMessage r;
   r.message.id = id;
   r.message.message_class = cls;
   r.message.destination = 1;
@@ -23,7 +23,8 @@
 TEST(Restart, NoRepeatGoesWhoseConnectionMayComeUpBehindTheWindow) {
   Rig rig;
   rig.at(100 * kS).list({makeEndpoint("e", 1)});
-  const PastAttempt in_time{"e", 100 * kS - 3900 * kMs, true}, too_near{"e", 100 * kS - 4100 * kMs, true};
+  const RecoveredAttempt in_time{"e", 100 * kS - 3900 * kMs, true},
+      too_near{"e", 100 * kS - 4100 * kMs, true};
   const auto sent =
       rig.run({resumed(rig, "in_time", "keyed", {in_time}), resumed(rig, "near", "keyed", {too_near})});
   EXPECT_EQ(std::vector<std::string>{"in_time"}, std::vector<std::string>(sent.begin(), sent.end()));
@@ -32,8 +33,8 @@
 TEST(Restart, WhatMayHaveRunGoesAgainOnlyAsItsClassAllows) {
   Rig rig;
   rig.at(100 * kS).list({makeEndpoint("e", 1)});
-  const PastAttempt old{"e", 90 * kS, true}, young{"e", 99 * kS, true}, none{"e", 99 * kS, false};
-  const PastAttempt unlisted{"elsewhere", 99 * kS, true};
+  const RecoveredAttempt old{"e", 90 * kS, true}, young{"e", 99 * kS, true}, none{"e", 99 * kS, false};
+  const RecoveredAttempt unlisted{"elsewhere", 99 * kS, true};
   const auto sent =
       rig.run({resumed(rig, "safe", "safe", {old}), resumed(rig, "keyed", "keyed", {young}),
                resumed(rig, "forgotten", "keyed", {old}), resumed(rig, "unsafe", "unsafe", {young}),
@@ -46,19 +47,19 @@
     failed.insert(f.id);
   EXPECT_EQ((std::set<std::string>{"unsafe", "away"}), failed);
   ASSERT_EQ(1u,
-            rig.got<Refuse>().size());  // repeats are dropped at all of its endpoints: harmless to hand in
-  EXPECT_EQ("forgotten", rig.got<Refuse>()[0].id);
+            rig.got<Reject>().size());  // repeats are dropped at all of its endpoints: harmless to hand in
+  EXPECT_EQ("forgotten", rig.got<Reject>()[0].id);
 }
 
 TEST(Restart, PastAttemptsCountTowardsTheMost) {
   Rig rig;
   rig.at(100 * kS).list({makeEndpoint("e", 1)});
-  const std::vector<PastAttempt> past(static_cast<std::size_t>(rig.set.max_attempts - 1),
-                                      {"e", 99 * kS, true});
+  const std::vector<RecoveredAttempt> past(static_cast<std::size_t>(rig.set.max_attempts - 1),
+                                           {"e", 99 * kS, true});
   EXPECT_EQ(1u, rig.run({resumed(rig, "m", "safe", past)}).size());
   rig.at(101 * kS);
-  EXPECT_TRUE(rig.run({rig.outcome("m", rig.set.max_attempts - 1, Result::error)}).empty());
-  EXPECT_EQ(1u, rig.got<Refuse>().size());
+  EXPECT_TRUE(rig.run({rig.outcome("m", rig.set.max_attempts - 1, AttemptResult::error)}).empty());
+  EXPECT_EQ(1u, rig.got<Reject>().size());
 }
 
 // A call that the process before still has out holds its slot, is not sent again, and ends like one's own.
@@ -67,15 +68,15 @@
   set.slots = 2;
   Rig rig(set);
   rig.at(100 * kS).list({makeEndpoint("e", 1)});
-  const PastAttempt out{"e", 99 * kS, true, true};
+  const RecoveredAttempt out{"e", 99 * kS, true, true};
   EXPECT_TRUE(rig.run({resumed(rig, "a", "unsafe", {out}), resumed(rig, "b", "unsafe", {out})}).empty());
   EXPECT_TRUE(rig.got<Fail>().empty());
   rig.at(100 * kS + 10 * kMs);
   EXPECT_TRUE(rig.arrive("next", "safe", 1).empty());  // both slots are taken
   rig.at(100 * kS + 20 * kMs);
-  EXPECT_EQ(std::vector<std::string>{"next"}, rig.end("a", 0, Result::ok));
+  EXPECT_EQ(std::vector<std::string>{"next"}, rig.end("a", 0, AttemptResult::ok));
   rig.at(100 * kS + 30 * kMs);
-  rig.end("b", 0, Result::cancelled);  // lost with that process: it may have run
+  rig.end("b", 0, AttemptResult::cancelled);  // lost with that process: it may have run
   ASSERT_EQ(1u, rig.got<Fail>().size());
   EXPECT_EQ("b", rig.got<Fail>()[0].id);
 }
@@ -85,11 +86,11 @@
   Rig first;
   first.at(100 * kS).list({makeEndpoint("e", 1)});
   first.arrive("m", "safe", 1);
-  first.at(100 * kS + 100 * kMs).end("m", 0, Result::full, 100 * kMs, 700 * kMs);
-  ASSERT_EQ(1u, first.got<Ailment>().size());
+  first.at(100 * kS + 100 * kMs).end("m", 0, AttemptResult::throttled, 100 * kMs, 700 * kMs);
+  ASSERT_EQ(1u, first.got<HealthRecord>().size());
   Rig next;
   next.at(first.now + 10 * kMs).list({makeEndpoint("e", 1)});
-  EXPECT_TRUE(next.run({first.got<Ailment>()[0], resumed(next, "m", "safe", {})}).empty());
+  EXPECT_TRUE(next.run({first.got<HealthRecord>()[0], resumed(next, "m", "safe", {})}).empty());
   next.at(first.now + 699 * kMs);
   EXPECT_TRUE(next.wake().empty());
   next.at(first.now + 701 * kMs);
@@ -100,13 +101,13 @@
 TEST(Restart, AilmentsAreGivenOutAndKeptByTheNextProcess) {
   Rig first;
   first.at(100 * kS).list({makeEndpoint("e", 1, "shared", 10)});
-  std::vector<Ailment> kept;
+  std::vector<HealthRecord> kept;
   for (int i = 0; i < 8; ++i) {
     first.at(100 * kS + i * 2 * kS);
     first.arrive("m" + std::to_string(i), "safe", 1);
-    for (const Send& s : first.got<Send>()) {
-      first.at(first.now + 10 * kMs).end(s.id, 0, Result::connect_failed);
-      for (const Ailment& a : first.got<Ailment>())
+    for (const SendAttempt& s : first.got<SendAttempt>()) {
+      first.at(first.now + 10 * kMs).end(s.id, 0, AttemptResult::connect_failed);
+      for (const HealthRecord& a : first.got<HealthRecord>())
         kept.push_back(a);
     }
   }
@@ -131,20 +132,20 @@
   Rig rig;
   rig.at(100 * kS).list({makeEndpoint("e", 1)});
   rig.arrive("warm", "safe", 1);
-  rig.at(rig.now + 100 * kMs).end("warm", 0, Result::ok);
-  rig.at(101 * kS).run({Stopping{101 * kS + 3 * kS}});
+  rig.at(rig.now + 100 * kMs).end("warm", 0, AttemptResult::ok);
+  rig.at(101 * kS).run({ShutdownScheduled{101 * kS + 3 * kS}});
   EXPECT_EQ(1u, rig.arrive("soon", "unsafe", 1).size());
-  rig.at(rig.now + 100 * kMs).end("soon", 0, Result::ok);
+  rig.at(rig.now + 100 * kMs).end("soon", 0, AttemptResult::ok);
   // Half of its time-out is left, many times what an answer takes: it is not kept waiting for the next
   // process.
   rig.at(104 * kS - 900 * kMs);
   EXPECT_EQ(1u, rig.arrive("payment", "unsafe", 1).size());
   EXPECT_GT(rig.now + rig.timeout["payment"], 104 * kS);
-  rig.at(rig.now + 100 * kMs).end("payment", 0, Result::ok);
+  rig.at(rig.now + 100 * kMs).end("payment", 0, AttemptResult::ok);
   rig.at(104 * kS - 50 * kMs);
   EXPECT_TRUE(rig.arrive("late", "unsafe", 1).empty());
   EXPECT_TRUE(rig.got<Fail>().empty());
-  EXPECT_TRUE(rig.got<Refuse>().empty());  // it is left to the next process
+  EXPECT_TRUE(rig.got<Reject>().empty());  // it is left to the next process
 }
 
 // What a restart finds untried has been promised a try: with one slot, a table that is more than full and a
@@ -163,10 +164,10 @@
   std::set<std::string> tried;
   for (int turn = 0; turn < 100 && !sent.empty(); ++turn) {
     tried.insert(sent.begin(), sent.end());
-    EXPECT_TRUE(rig.got<Refuse>().empty());
+    EXPECT_TRUE(rig.got<Reject>().empty());
     EXPECT_TRUE(rig.got<Fail>().empty());
     rig.arrive("new" + std::to_string(turn), "safe", 1);  // those that come meanwhile take no place of theirs
-    sent = rig.at(rig.now + 50 * kMs).end(sent[0], 0, Result::ok);
+    sent = rig.at(rig.now + 50 * kMs).end(sent[0], 0, AttemptResult::ok);
     for (int i = 0; i < 40 && sent.empty(); ++i)
       sent = rig.at(rig.now + 50 * kMs).wake();
   }
@@ -189,7 +190,7 @@
   for (int i = 0; i < 200 && order.size() < 10; ++i) {
     order.insert(order.end(), sent.begin(), sent.end());
     rig.at(rig.now + 50 * kMs);
-    sent = sent.empty() ? rig.wake() : rig.end(sent[0], 0, Result::ok);
+    sent = sent.empty() ? rig.wake() : rig.end(sent[0], 0, AttemptResult::ok);
   }
   ASSERT_EQ(10u, order.size());
   for (int i = 0; i < 5; ++i)
@@ -205,7 +206,7 @@
   rig.at(100 * kS).list({makeEndpoint("e", 1), makeEndpoint("f", 2)});
   std::vector<Event> events;
   for (int i = 0; i < 5; ++i) {
-    Resumed r = resumed(rig, "m" + std::to_string(i), "safe", {});
+    RecoveredMessage r = resumed(rig, "m" + std::to_string(i), "safe", {});
     r.restarted = false;
     events.push_back(r);
   }
@@ -215,7 +216,7 @@
   for (int i = 0; i < 200 && order.size() < 4; ++i) {
     order.insert(order.end(), sent.begin(), sent.end());
     rig.at(rig.now + 50 * kMs);
-    sent = sent.empty() ? rig.wake() : rig.end(sent[0], 0, Result::ok);
+    sent = sent.empty() ? rig.wake() : rig.end(sent[0], 0, AttemptResult::ok);
   }
   ASSERT_EQ(4u, order.size());
   EXPECT_EQ(2, std::count_if(order.begin(), order.end(), [](const std::string& id) { return id[0] == 'm'; }));
@@ -229,7 +230,7 @@
   int refused = 0;
   for (int i = 0; i < 6; ++i) {
     rig.arrive("m" + std::to_string(i), "safe", 1);
-    refused += static_cast<int>(rig.got<Refuse>().size());
+    refused += static_cast<int>(rig.got<Reject>().size());
   }
   EXPECT_GE(refused, 3);
 }
--- a/tests/decision/tags_test.cpp
+++ b/tests/decision/tags_test.cpp
@@ -14,7 +14,8 @@
   Settings s = makeSettings();
   s.slots = 1;
   s.weights = WeightKind::nominal;
-  s.classes = {makeClass("c1", Effect::safe, 50 * kMs), makeClass("c2", Effect::safe, 25 * kMs)};
+  s.classes = {makeClass("c1", Idempotency::idempotent, 50 * kMs),
+               makeClass("c2", Idempotency::idempotent, 25 * kMs)};
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 3000), makeEndpoint("e2", 2, "shared", 1000)});
   // Weights in the ratio 3:1, far above what the server does, so that no bound decides.
@@ -26,7 +27,7 @@
   Ids order = r.run(all);
   for (int t = 1; order.size() < 25 && t < 100; ++t) {
     const std::string last = order.back();
-    for (const auto& id : r.at(t * 10 * kMs).end(last, 0, Result::ok, 10 * kMs))
+    for (const auto& id : r.at(t * 10 * kMs).end(last, 0, AttemptResult::ok, 10 * kMs))
       order.push_back(id);
   }
   ASSERT_GE(order.size(), 25u);
@@ -49,8 +50,8 @@
   EXPECT_EQ(r.run({r.arrival("x", "safe", 1), r.arrival("a1", "safe", 1), r.arrival("b1", "safe", 2)}),
             Ids{"x"});
   // a1 has local tag 2 s, global about 1 ms; b1 has a due local tag and a later global one.
-  EXPECT_EQ(r.at(100 * kMs).end("x", 0, Result::ok), Ids{"b1"});
-  EXPECT_EQ(r.at(200 * kMs).end("b1", 0, Result::ok), Ids{"a1"});
+  EXPECT_EQ(r.at(100 * kMs).end("x", 0, AttemptResult::ok), Ids{"b1"});
+  EXPECT_EQ(r.at(200 * kMs).end("b1", 0, AttemptResult::ok), Ids{"a1"});
 }
 
 TEST(Tags, EndpointWithTheFewestCallsOut) {
@@ -68,7 +69,7 @@
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 100), makeEndpoint("e2", 2, "shared", 100)});
   r.arrive("old", "safe", 2);
-  r.at(100 * kMs).end("old", 0, Result::ok);
+  r.at(100 * kMs).end("old", 0, AttemptResult::ok);
   // Destination 1 is backlogged, 2 comes back from idleness with four messages: its lag of two starts lets
   // the second and third go before those of 1, not the fourth.
   r.at(5 * kS);
@@ -79,7 +80,7 @@
     all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
   Ids order = r.run(all);
   for (int i = 0; order.size() < 6 && i < 20; ++i)
-    for (const auto& id : r.at(5 * kS + (i + 1) * 20 * kMs).end(order.back(), 0, Result::ok, 20 * kMs))
+    for (const auto& id : r.at(5 * kS + (i + 1) * 20 * kMs).end(order.back(), 0, AttemptResult::ok, 20 * kMs))
       order.push_back(id);
   std::string who;
   for (const auto& id : order)
@@ -101,14 +102,14 @@
     all.push_back(r.arrival("a" + std::to_string(i), "safe", 1));
   Ids order = r.run(all);
   for (int i = 1; i <= 10; ++i)
-    order = r.at(i * 10 * kMs).end(order.at(0), 0, Result::ok, 10 * kMs);
+    order = r.at(i * 10 * kMs).end(order.at(0), 0, AttemptResult::ok, 10 * kMs);
   all.clear();
   for (int i = 0; i < 5; ++i)
     all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
   EXPECT_TRUE(r.run(all).empty());
   std::string who;
   for (int i = 11; i <= 16; ++i) {
-    order = r.at(i * 10 * kMs).end(order.at(0), 0, Result::ok, 10 * kMs);
+    order = r.at(i * 10 * kMs).end(order.at(0), 0, AttemptResult::ok, 10 * kMs);
     who += order.at(0)[0];
   }
   EXPECT_GE(std::count(who.begin(), who.end(), 'a'), 2) << who;
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -22,11 +22,11 @@
   explicit Served(std::int64_t places) : rules(budgetFor(places)) {
     auto acceptor = listenAt(io, {boost::asio::ip::address_v4::loopback(), 0});
     port = acceptor.local_endpoint().port();
-    clients =
-        std::make_unique<Clients>(io, std::move(acceptor), rules, [this](TakenOn m, Clients::Reply reply) {
-          taken = std::move(m);
-          reply("+OK");
-        });
+    clients = std::make_unique<ClientServer>(io, std::move(acceptor), rules,
+                                             [this](AcceptedMessage m, ClientServer::Reply reply) {
+                                               taken = std::move(m);
+                                               reply("+OK");
+                                             });
   }
   static Budget budgetFor(std::int64_t places) {
     Budget b;
@@ -42,8 +42,8 @@
   boost::asio::io_context io;
   Connections rules;
   int port = 0;
-  std::optional<TakenOn> taken;
-  std::unique_ptr<Clients> clients;
+  std::optional<AcceptedMessage> taken;
+  std::unique_ptr<ClientServer> clients;
 };
 
 const std::string kPut = loopback::Client::request({"MSG.PUT", "0", "m", "c=order,d=8000,dest=7", "x"});
--- a/tests/network/connections_test.cpp
+++ b/tests/network/connections_test.cpp
@@ -54,7 +54,7 @@
   const auto message = [](const ProcessLimits& l) {
     try {
       budgetOf(l, false);
-    } catch (const BadInput& e) {
+    } catch (const InvalidInput& e) {
       return std::string(e.what());
     }
     return std::string();
