--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -20,7 +20,7 @@
 
 struct Pool {
   explicit Pool(Micros conn_idle = 60'000'000, Micros dial = 5'000'000)
-      : connections(budget()), endpoints(io, {dial, conn_idle}, connections, [this](Outcome o) {
+      : connections(budget()), endpoints(io, {dial, conn_idle}, connections, [this](AttemptOutcome o) {
           outcomes.push_back(std::move(o));
         }) {}
 
@@ -29,33 +29,33 @@
     b.handshakes = 2;
     return b;
   }
-  TakenOn message(const std::string& id) {
-    TakenOn m;
+  AcceptedMessage message(const std::string& id) {
+    AcceptedMessage m;
     m.id = id;
     m.idempotency_key = "5c0f6e1a2b3d4c59";
     m.body = std::string("any\0bytes\r\n", 11);
     return m;
   }
   // Makes a call and waits for its outcome.
-  Outcome call(const std::string& id, Micros timeout = 60'000'000) {
+  AttemptOutcome call(const std::string& id, Micros timeout = 60'000'000) {
     const std::size_t before = outcomes.size();
     endpoints.call(message(id), 0, "e", within(timeout));
     return waitFor(before + 1);
   }
-  Outcome waitFor(std::size_t count) {
+  AttemptOutcome waitFor(std::size_t count) {
     const auto until = std::chrono::steady_clock::now() + loopback::kLong;
     while (outcomes.size() < count && std::chrono::steady_clock::now() < until) {
       io.restart();
       io.run_one_for(std::chrono::seconds(1));
     }
     EXPECT_EQ(count, outcomes.size());
-    return outcomes.empty() ? Outcome{} : outcomes.back();
+    return outcomes.empty() ? AttemptOutcome{} : outcomes.back();
   }
 
   boost::asio::io_context io;
-  std::vector<Outcome> outcomes;
+  std::vector<AttemptOutcome> outcomes;
   Connections connections;
-  Endpoints endpoints;
+  EndpointPool endpoints;
 };
 
 // The answer comes while this process is busy, and the call's timer has fired before it is looked for: a
@@ -133,7 +133,7 @@
   std::vector<int> fillers;
 };
 
-Outcome outcomeOf(const Act& act, Micros timeout = 60'000'000) {
+AttemptOutcome outcomeOf(const Act& act, Micros timeout = 60'000'000) {
   Server s([&](const Seen&) { return act; });
   Pool p;
   p.endpoints.address("e", s.address());
@@ -150,7 +150,7 @@
 struct Row {
   const char* name;
   Act act;
-  Result result;
+  AttemptResult result;
   bool finished;
   Micros wait;
   friend void PrintTo(const Row& r, std::ostream* out) { *out << r.name; }
@@ -159,7 +159,7 @@
 
 TEST_P(Outcomes, AreThoseOfTheTable) {
   const Row& r = GetParam();
-  const Outcome o = outcomeOf(r.act);
+  const AttemptOutcome o = outcomeOf(r.act);
   EXPECT_EQ(r.result, o.result);
   EXPECT_EQ(r.finished, o.finished);
   EXPECT_EQ(r.wait, o.wait);
@@ -168,73 +168,85 @@
 INSTANTIATE_TEST_SUITE_P(
     Table, Outcomes,
     ::testing::Values(
-        Row{"delivered", {answer("200 OK", "", "fine")}, Result::ok, true, 0},
+        Row{"delivered", {answer("200 OK", "", "fine")}, AttemptResult::ok, true, 0},
         Row{"delivered_body_lost",
             {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", true},
-            Result::ok,
+            AttemptResult::ok,
             true,
             0},
-        Row{"error", {answer("500 Oops")}, Result::error, false, 0},
-        Row{"told_to_wait", {answer("429 Slow", "Retry-After: 0.25\r\n")}, Result::full, false, 250'000},
-        Row{"told_nonsense", {answer("429 Slow", "Retry-After: soon\r\n")}, Result::full, false, 0},
-        Row{"turned_away", {answer("503 Full")}, Result::full, false, 0},
-        Row{"no_slot", {answer("503 Full", "X-Egress-Full: 1\r\n")}, Result::not_sent, false, 0},
-        Row{"used_up", {answer("504 Used")}, Result::not_sent, false, 0},
-        Row{"over", {answer("410 Gone")}, Result::not_sent, true, 0},
-        Row{"unknown_status", {answer("418 Tea")}, Result::error, false, 0},
-        Row{"garbled", {"no http at all\r\n\r\n", true}, Result::reset, false, 0},
-        Row{"ended", {"", true}, Result::reset, false, 0},
-        Row{"reset", {"", false, true}, Result::reset, false, 0},
+        Row{"error", {answer("500 Oops")}, AttemptResult::error, false, 0},
+        Row{"told_to_wait",
+            {answer("429 Slow", "Retry-After: 0.25\r\n")},
+            AttemptResult::throttled,
+            false,
+            250'000},
+        Row{"told_nonsense",
+            {answer("429 Slow", "Retry-After: soon\r\n")},
+            AttemptResult::throttled,
+            false,
+            0},
+        Row{"turned_away", {answer("503 Full")}, AttemptResult::throttled, false, 0},
+        Row{"no_slot", {answer("503 Full", "X-Egress-Full: 1\r\n")}, AttemptResult::not_sent, false, 0},
+        Row{"used_up", {answer("504 Used")}, AttemptResult::not_sent, false, 0},
+        Row{"over", {answer("410 Gone")}, AttemptResult::not_sent, true, 0},
+        Row{"unknown_status", {answer("418 Tea")}, AttemptResult::error, false, 0},
+        Row{"garbled", {"no http at all\r\n\r\n", true}, AttemptResult::reset, false, 0},
+        Row{"ended", {"", true}, AttemptResult::reset, false, 0},
+        Row{"reset", {"", false, true}, AttemptResult::reset, false, 0},
         Row{"delivered_rest_garbled",
             {"HTTP/1.1 200 OK\r\n\x01 no field\r\n\r\n", true},
-            Result::ok,
+            AttemptResult::ok,
+            true,
+            0},
+        Row{"delivered_rest_lost",
+            {"HTTP/1.1 200 OK\r\nContent-Le", false, true},
+            AttemptResult::ok,
             true,
             0},
-        Row{"delivered_rest_lost", {"HTTP/1.1 200 OK\r\nContent-Le", false, true}, Result::ok, true, 0},
         Row{"turned_away_cut_off",
             {"HTTP/1.1 503 Full\r\nContent-Length: 10\r\n\r\nhalf", true},
-            Result::error,
+            AttemptResult::error,
             false,
             0},
         Row{"hints_then_turned_away",
             {"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" +
              answer("429 Full", "Retry-After: 0.5\r\n")},
-            Result::full,
+            AttemptResult::throttled,
             false,
             500000},
         Row{"hints_then_delivered",
             {"HTTP/1.1 103 Early Hints\r\n\r\n" + answer("200 OK")},
-            Result::ok,
+            AttemptResult::ok,
             true,
             0},
-        Row{"hints_without_end", {hints(40) + answer("200 OK")}, Result::error, false, 0},
-        Row{"half_a_head", {"HTTP/1.1 200", true}, Result::reset, false, 0}),
+        Row{"hints_without_end", {hints(40) + answer("200 OK")}, AttemptResult::error, false, 0},
+        Row{"half_a_head", {"HTTP/1.1 200", true}, AttemptResult::reset, false, 0}),
     [](const auto& i) { return std::string(i.param.name); });
 
-TEST(Endpoints, SilenceEndsInATimeOutAndClosesTheConnection) {
+TEST(EndpointPool, SilenceEndsInATimeOutAndClosesTheConnection) {
   Server s([](const Seen&) { return Act{}; });
   Pool p;
   p.endpoints.address("e", s.address());
-  const Outcome o = p.call("m", 200'000);
-  EXPECT_EQ(Result::timeout, o.result);
+  const AttemptOutcome o = p.call("m", 200'000);
+  EXPECT_EQ(AttemptResult::timeout, o.result);
   EXPECT_FALSE(o.finished);
   EXPECT_EQ(0u, p.endpoints.idle());
 }
 
-TEST(Endpoints, ARefusedConnectionNeverRan) {
+TEST(EndpointPool, ARefusedConnectionNeverRan) {
   Pool p;
   p.endpoints.address("e", loopback::closedAddress());
-  EXPECT_EQ(Result::connect_failed, p.call("m").result);
+  EXPECT_EQ(AttemptResult::connect_failed, p.call("m").result);
   p.endpoints.address("e", "nonsense");
-  EXPECT_EQ(Result::connect_failed, p.call("n").result);
+  EXPECT_EQ(AttemptResult::connect_failed, p.call("n").result);
 }
 
 // A call is written whole and once: id, key and body unchanged, and how long the sender will wait.
-TEST(Endpoints, ACallCarriesTheMessageUnchanged) {
+TEST(EndpointPool, ACallCarriesTheMessageUnchanged) {
   Server s([](const Seen&) { return Act{answer("200 OK", "X-Pressure: x0=0.4,x1=25\r\n")}; });
   Pool p;
   p.endpoints.address("e", s.address());
-  const Outcome o = p.call("9b1f03aa5c7e2d41", 1'500'000);
+  const AttemptOutcome o = p.call("9b1f03aa5c7e2d41", 1'500'000);
   ASSERT_EQ(1u, s.seen().size());
   const Seen seen = s.seen()[0];
   EXPECT_EQ(0u, seen.head.find("POST /hook HTTP/1.1\r\n"));
@@ -249,7 +261,7 @@
   EXPECT_DOUBLE_EQ(25, o.report->limit);
 }
 
-TEST(Endpoints, ConnectionsAreReusedAndClosedOnDemand) {
+TEST(EndpointPool, ConnectionsAreReusedAndClosedOnDemand) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p;
   p.endpoints.address("e", s.address());
@@ -264,12 +276,12 @@
 
 // Guards against a request that is written to a connection the endpoint has closed: it would end as a reset,
 // and an unsafe message would be lost by it.
-TEST(Endpoints, AConnectionClosedByTheEndpointIsNotWrittenTo) {
+TEST(EndpointPool, AConnectionClosedByTheEndpointIsNotWrittenTo) {
   Server s([](const Seen&) { return Act{answer("200 OK"), true}; });  // closes, without saying so
   Pool p;
   p.endpoints.address("e", s.address());
   for (int i = 0; i < 20; ++i) {
-    EXPECT_EQ(Result::ok, p.call("m" + std::to_string(i)).result);
+    EXPECT_EQ(AttemptResult::ok, p.call("m" + std::to_string(i)).result);
     p.io.restart();
     p.io.run_for(std::chrono::milliseconds(50));  // time for the end to arrive
   }
@@ -277,7 +289,7 @@
 
 // The endpoint closes the idle connection between its choice and the first byte: the call goes on another
 // one.
-TEST(Endpoints, AConnectionClosedAfterItWasChosenIsNotWrittenTo) {
+TEST(EndpointPool, AConnectionClosedAfterItWasChosenIsNotWrittenTo) {
   loopback::Listener endpoint;
   Pool p;
   p.endpoints.address("e", endpoint.address());
@@ -288,7 +300,7 @@
     p.io.run_one_for(std::chrono::milliseconds(1));
   const std::string fine = answer("200 OK");
   EXPECT_EQ(static_cast<ssize_t>(fine.size()), ::send(fd, fine.data(), fine.size(), MSG_NOSIGNAL));
-  EXPECT_EQ(Result::ok, p.waitFor(1).result);
+  EXPECT_EQ(AttemptResult::ok, p.waitFor(1).result);
   EXPECT_EQ(1u, p.endpoints.idle());
   p.endpoints.call(p.message("second"), 0, "e",
                    within(60'000'000));  // chosen, to be written in the next turn
@@ -304,11 +316,11 @@
   while (::recv(next, piece, sizeof piece, 0) <= 0)
     p.io.run_one_for(std::chrono::milliseconds(1));
   EXPECT_EQ(static_cast<ssize_t>(fine.size()), ::send(next, fine.data(), fine.size(), MSG_NOSIGNAL));
-  EXPECT_EQ(Result::ok, p.waitFor(2).result);
+  EXPECT_EQ(AttemptResult::ok, p.waitFor(2).result);
   ::close(next);
 }
 
-TEST(Endpoints, AnIdleConnectionIsClosedBeforeTheEndpointWould) {
+TEST(EndpointPool, AnIdleConnectionIsClosedBeforeTheEndpointWould) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p(100'000);
   p.endpoints.address("e", s.address());
@@ -322,7 +334,7 @@
   EXPECT_EQ(0u, p.endpoints.idle());
 }
 
-TEST(Endpoints, ACallIsCalledOffByClosingAndHasOneOutcome) {
+TEST(EndpointPool, ACallIsCalledOffByClosingAndHasOneOutcome) {
   Server s([](const Seen&) { return Act{}; });
   Pool p;
   p.endpoints.address("e", s.address());
@@ -333,8 +345,8 @@
   }
   p.endpoints.cancel("m", 3);
   p.endpoints.cancel("m", 3);
-  const Outcome o = p.waitFor(1);
-  EXPECT_EQ(Result::cancelled, o.result);
+  const AttemptOutcome o = p.waitFor(1);
+  EXPECT_EQ(AttemptResult::cancelled, o.result);
   EXPECT_EQ(3, o.attempt);
   EXPECT_EQ(0u, p.endpoints.out());
   p.io.restart();
@@ -344,7 +356,7 @@
 
 // A burst for an endpoint that is slow to connect is no rush of connects: two are opened, the others wait,
 // and end as those that found no connection.
-TEST(Endpoints, ABurstOpensFewConnectionsAtOnce) {
+TEST(EndpointPool, ABurstOpensFewConnectionsAtOnce) {
   Stuck stuck;
   Pool p(60'000'000, 300'000);
   p.endpoints.address("e", stuck.listener.address());
@@ -353,13 +365,13 @@
   EXPECT_EQ(8u, p.endpoints.out());
   EXPECT_EQ(2, p.connections.callConnections());
   p.waitFor(8);
-  for (const Outcome& o : p.outcomes)
-    EXPECT_EQ(Result::connect_failed, o.result);
+  for (const AttemptOutcome& o : p.outcomes)
+    EXPECT_EQ(AttemptResult::connect_failed, o.result);
   EXPECT_EQ(0, p.connections.callConnections());
 }
 
 // Those that wait go one after the other, on what is free by then, and each is written once.
-TEST(Endpoints, ABurstIsDeliveredOnTheConnectionsThatComeFree) {
+TEST(EndpointPool, ABurstIsDeliveredOnTheConnectionsThatComeFree) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p;
   p.endpoints.address("e", s.address());
@@ -371,14 +383,14 @@
     ids.insert(seen.field("X-Txn"));
   EXPECT_EQ(8u, ids.size());
   EXPECT_EQ(8u, s.seen().size());
-  for (const Outcome& o : p.outcomes)
-    EXPECT_EQ(Result::ok, o.result);
+  for (const AttemptOutcome& o : p.outcomes)
+    EXPECT_EQ(AttemptResult::ok, o.result);
   EXPECT_EQ(static_cast<std::int64_t>(p.endpoints.idle()), p.connections.callConnections());
 }
 
 // A wait that a destination tells, and a drain, hold for calls that wait for a connection and for those whose
 // connection is coming up: it would be up inside the wait.
-TEST(Endpoints, WhatHasNoConnectionYetHeedsAWaitAndADrain) {
+TEST(EndpointPool, WhatHasNoConnectionYetHeedsAWaitAndADrain) {
   Server s([](const Seen&) { return Act{answer("429 Slow", "Retry-After: 9\r\n")}; });
   Stuck stuck;
   for (const bool drain : {false, true}) {
@@ -392,8 +404,8 @@
     else
       p.endpoints.call(p.message("told"), 0, "told", within(60'000'000));
     p.waitFor(drain ? 3 : 4);
-    for (const Outcome& o : p.outcomes)
-      EXPECT_EQ(o.id == "told" ? Result::full : Result::not_sent, o.result) << o.id;
+    for (const AttemptOutcome& o : p.outcomes)
+      EXPECT_EQ(o.id == "told" ? AttemptResult::throttled : AttemptResult::not_sent, o.result) << o.id;
     EXPECT_EQ(0u, p.endpoints.out());
     EXPECT_EQ(drain ? 0 : 1, p.connections.callConnections());
   }
@@ -401,7 +413,7 @@
 
 // An answer that told a wait in its head, and then is late, never ends or is cut off, told it all the same:
 // at once, for what is about to go out, and whatever becomes of the call.
-TEST(Endpoints, AWaitIsHeardWithTheHeadOfItsAnswer) {
+TEST(EndpointPool, AWaitIsHeardWithTheHeadOfItsAnswer) {
   const std::string head = "HTTP/1.1 429 Slow\r\nRetry-After: 9\r\nContent-Length: 10\r\n\r\nhalf";
   for (const bool cut : {false, true}) {
     Server s([&](const Seen&) { return Act{head, cut}; });
@@ -412,22 +424,22 @@
     p.endpoints.call(p.message("m"), 0, "e", within(60'000'000));
     p.endpoints.call(p.message("told"), 0, "told", within(60'000'000));
     p.waitFor(2);
-    std::map<std::string, Outcome> by;
-    for (const Outcome& o : p.outcomes)
+    std::map<std::string, AttemptOutcome> by;
+    for (const AttemptOutcome& o : p.outcomes)
       by[o.id] = o;
-    EXPECT_EQ(Result::not_sent, by["m"].result);
+    EXPECT_EQ(AttemptResult::not_sent, by["m"].result);
     EXPECT_TRUE(by["told"].still_out);
     EXPECT_EQ(9'000'000, by["told"].wait);
     if (!cut)
       p.endpoints.cancel("told", 0);
-    const Outcome end = p.waitFor(p.outcomes.size() + 1);
+    const AttemptOutcome end = p.waitFor(p.outcomes.size() + 1);
     EXPECT_FALSE(end.still_out);
-    EXPECT_EQ(Result::error, end.result);  // what can't be read may have run
+    EXPECT_EQ(AttemptResult::error, end.result);  // what can't be read may have run
   }
 }
 
 // The answer is in the socket as the call is called off: it is what became of the call.
-TEST(Endpoints, AnAnswerThatCrossesTheCallingOffCounts) {
+TEST(EndpointPool, AnAnswerThatCrossesTheCallingOffCounts) {
   Server s([](const Seen&) { return Act{answer("429 Slow", "Retry-After: 9\r\n")}; });
   Pool p;
   p.endpoints.address("e", s.address());
@@ -436,13 +448,13 @@
     p.io.run_one_for(std::chrono::milliseconds(1));
   std::this_thread::sleep_for(std::chrono::milliseconds(100));  // time for the answer to arrive: unread
   p.endpoints.cancel("m", 0);
-  const Outcome o = p.waitFor(1);
-  EXPECT_EQ(Result::full, o.result);
+  const AttemptOutcome o = p.waitFor(1);
+  EXPECT_EQ(AttemptResult::throttled, o.result);
   EXPECT_EQ(9'000'000, o.wait);
 }
 
 // What was never written can't have run, called off or not.
-TEST(Endpoints, ACallWithoutAConnectionThatIsCalledOffNeverRan) {
+TEST(EndpointPool, ACallWithoutAConnectionThatIsCalledOffNeverRan) {
   Stuck stuck;
   Pool p;
   p.endpoints.address("e", stuck.listener.address());
@@ -450,12 +462,12 @@
   EXPECT_TRUE(p.endpoints.cancel("m", 0));
   EXPECT_EQ(1u, p.endpoints.out());  // its outcome is still to be told
   EXPECT_EQ(1u, p.endpoints.calls().size());
-  EXPECT_EQ(Result::not_sent, p.waitFor(1).result);
+  EXPECT_EQ(AttemptResult::not_sent, p.waitFor(1).result);
   EXPECT_EQ(0u, p.endpoints.out());
 }
 
 // Where routes are apart, a wait holds for the route that told it, and for no other.
-TEST(Endpoints, AWaitOfARouteApartHoldsForThatRouteAlone) {
+TEST(EndpointPool, AWaitOfARouteApartHoldsForThatRouteAlone) {
   Server s([](const Seen&) { return Act{answer("429 Slow", "Retry-After: 9\r\n")}; });
   Stuck other;
   Pool p;
@@ -469,24 +481,24 @@
 }
 
 // Chosen, with its connection at hand, and not yet written: the drain is heard in between.
-TEST(Endpoints, WhatIsAboutToBeWrittenHeedsADrain) {
+TEST(EndpointPool, WhatIsAboutToBeWrittenHeedsADrain) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p;
   p.endpoints.address("e", s.address());
   p.call("first");
   p.endpoints.call(p.message("second"), 0, "e", within(60'000'000));
   p.endpoints.drained("e");
-  EXPECT_EQ(Result::not_sent, p.waitFor(2).result);
+  EXPECT_EQ(AttemptResult::not_sent, p.waitFor(2).result);
   EXPECT_TRUE(loopback::eventually([&] { return s.closedByPeer() == 1; }));
   EXPECT_EQ(1u, s.seen().size());
 }
 
 // An endpoint that reads no more has the call in part: that can't run, and the rest is not sent.
-TEST(Endpoints, WhatIsHalfWrittenHeedsADrainAndNeverRan) {
+TEST(EndpointPool, WhatIsHalfWrittenHeedsADrainAndNeverRan) {
   loopback::Listener unread;
   Pool p;
   p.endpoints.address("e", unread.address());
-  TakenOn m = p.message("m");
+  AcceptedMessage m = p.message("m");
   m.body.assign(64u << 20, 'x');  // more than a socket's buffers hold
   p.endpoints.call(m, 0, "e", within(60'000'000));
   const int fd = ::accept4(unread.fd, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
@@ -494,13 +506,13 @@
   while (::recv(fd, &piece, 1, MSG_PEEK) <= 0)
     p.io.run_one_for(std::chrono::milliseconds(1));
   p.endpoints.drained("e");
-  EXPECT_EQ(Result::not_sent, p.waitFor(1).result);
+  EXPECT_EQ(AttemptResult::not_sent, p.waitFor(1).result);
   EXPECT_EQ(0, p.connections.callConnections());
   ::close(fd);
 }
 
 // What is left is worked out as a call is written: connecting, and waiting for a connection, come off it.
-TEST(Endpoints, ConnectingComesOffTheTimeThatIsTold) {
+TEST(EndpointPool, ConnectingComesOffTheTimeThatIsTold) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p;
   p.endpoints.address("e", s.address());
@@ -516,20 +528,20 @@
 }
 
 // With no time left nothing is written: the call could not be heard of, and might run.
-TEST(Endpoints, ACallWithNoTimeLeftIsNotWritten) {
+TEST(EndpointPool, ACallWithNoTimeLeftIsNotWritten) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p;
   p.endpoints.address("e", s.address());
-  EXPECT_EQ(Result::ok, p.call("first").result);
+  EXPECT_EQ(AttemptResult::ok, p.call("first").result);
   for (const Micros span : {Micros{-5'000'000}, Micros{0}})
-    EXPECT_EQ(Result::connect_failed, p.call("late" + std::to_string(span), span).result) << span;
+    EXPECT_EQ(AttemptResult::connect_failed, p.call("late" + std::to_string(span), span).result) << span;
   p.endpoints.closeAllIdle();
-  EXPECT_EQ(Result::connect_failed, p.call("on a fresh one", 0).result);
+  EXPECT_EQ(AttemptResult::connect_failed, p.call("on a fresh one", 0).result);
   EXPECT_EQ(1u, s.seen().size());
 }
 
 // A full row of idle connections to one endpoint makes room for one to another.
-TEST(Endpoints, TheLongestRowOfIdleConnectionsMakesRoom) {
+TEST(EndpointPool, TheLongestRowOfIdleConnectionsMakesRoom) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p;
   Budget b = Pool::budget();
--- a/tests/network/queue_age_test.cpp
+++ b/tests/network/queue_age_test.cpp
@@ -8,8 +8,8 @@
 
 constexpr Micros kMs = 1000;
 
-TEST(WaitingSince, IsTheTimeOfTakingForWhatIsSeenAsItComes) {
-  WaitingSince w(INT64_MIN / 4);
+TEST(QueueAge, IsTheTimeOfTakingForWhatIsSeenAsItComes) {
+  QueueAge w(INT64_MIN / 4);
   w.seenEmpty();
   w.seenFull(5000 * kMs);
   EXPECT_EQ(5000 * kMs, w.from(5000 * kMs));
@@ -18,8 +18,8 @@
   EXPECT_EQ(5003 * kMs, w.from(5090 * kMs)) << "the next came after what was taken";
 }
 
-TEST(WaitingSince, GoesNoFurtherBackThanAClientWaits) {
-  WaitingSince w(INT64_MIN / 4);
+TEST(QueueAge, GoesNoFurtherBackThanAClientWaits) {
+  QueueAge w(INT64_MIN / 4);
   EXPECT_EQ(4600 * kMs, w.from(5000 * kMs)) << "nobody knows since when";
   w.seenEmpty();
   w.seenFull(5000 * kMs);
--- a/tests/process/sender_test.cpp
+++ b/tests/process/sender_test.cpp
@@ -564,7 +564,7 @@
 }
 
 // The pauses that have grown at a discovery that fails are not kept for the one that SIGHUP names: they grow
-// from the first again there. News of it counts as told 4 s after the signal.
+// from the first again there. EndpointListUpdate of it counts as told 4 s after the signal.
 TEST(SenderProgram, PausesGrowAnewAtTheDiscoveryThatSighupNames) {
   const std::vector<Act> turned_away(20, Act{answer("503 Busy")});
   ScriptedDiscovery before(turned_away), after(turned_away);
--- a/tests/process/upgrade_test.cpp
+++ b/tests/process/upgrade_test.cpp
@@ -56,8 +56,8 @@
   return WIFEXITED(status) && WEXITSTATUS(status) == 0;
 }
 
-// Clients hand messages in throughout, on new connections and on kept ones: each request is answered, and
-// each message is sent once.
+// ClientServer hand messages in throughout, on new connections and on kept ones: each request is answered,
+// and each message is sent once.
 TEST(Upgrade, UnderTrafficLosesNothingAndSendsNothingTwice) {
   Upgrade u;
   u.script = [](const Seen&) {
@@ -333,14 +333,14 @@
   ASSERT_EQ("+OK", Client(fourth.port()).put("n", "notice", 7));
 }
 
-TEST(OwnerLock, IsOneProcessesAloneAndEndsWithIt) {
+TEST(OwnershipLock, IsOneProcessesAloneAndEndsWithIt) {
   TempFolder folder;
   int ready[2], go[2];
   ASSERT_EQ(0, ::pipe(ready));
   ASSERT_EQ(0, ::pipe(go));
   const pid_t child = ::fork();
   if (child == 0) {
-    OwnerLock held(folder.path());
+    OwnershipLock held(folder.path());
     const char taken = held.take() ? 'y' : 'n';
     (void)!::write(ready[1], &taken, 1);
     char c;
@@ -350,7 +350,7 @@
   char taken = 0;
   ASSERT_EQ(1, ::read(ready[0], &taken, 1));
   EXPECT_EQ('y', taken);
-  OwnerLock lock(folder.path());
+  OwnershipLock lock(folder.path());
   EXPECT_FALSE(lock.take());
   EXPECT_EQ(child, lock.holder());
   ::kill(child, SIGKILL);
--- a/tests/protocol/settings_reader_test.cpp
+++ b/tests/protocol/settings_reader_test.cpp
@@ -15,20 +15,20 @@
   try {
     validateSettings(s);
     FAIL();
-  } catch (const BadInput& e) {
+  } catch (const InvalidInput& e) {
     EXPECT_NE(std::string(e.what()).find("slots"), std::string::npos);
   }
   s = makeSettings();
   s.classes.clear();
-  EXPECT_THROW(validateSettings(s), BadInput);
+  EXPECT_THROW(validateSettings(s), InvalidInput);
   s = makeSettings();
   s.tick = -1;
-  EXPECT_THROW(validateSettings(s), BadInput);
+  EXPECT_THROW(validateSettings(s), InvalidInput);
 }
 
 TEST(Settings, ReadingThemChecksThem) {
   const json category{{"Name", "a"}, {"AimMs", 0}, {"DeadlineMs", 1}, {"Idempotency", "idempotent"}};
-  EXPECT_THROW(readSettings({{"Categories", {category}}}), BadInput);
+  EXPECT_THROW(readSettings({{"Categories", {category}}}), InvalidInput);
 }
 
 }  // namespace
--- a/tests/storage/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -14,8 +14,8 @@
 
 using loopback::TempFolder;
 
-TakenOn message(const std::string& id, std::size_t size = 20) {
-  TakenOn m;
+AcceptedMessage message(const std::string& id, std::size_t size = 20) {
+  AcceptedMessage m;
   m.id = id;
   m.message_class = "payment";
   m.idempotency_key = "key" + id;
@@ -151,7 +151,7 @@
   int taken = 0, refused = 0;
   std::vector<std::string> open;
   for (int i = 0; i < 3000; ++i) {
-    const TakenOn m = message("m" + std::to_string(i), 3000);
+    const AcceptedMessage m = message("m" + std::to_string(i), 3000);
     if (!j.reserve(m)) {
       ++refused;
       ASSERT_FALSE(open.empty());
--- a/tests/storage/recovery_test.cpp
+++ b/tests/storage/recovery_test.cpp
@@ -25,8 +25,8 @@
 constexpr Micros kS = 1'000'000;
 const Clocks kNow{100 * kS, 1'700'000'000 * kS, "boot-a"};
 
-TakenOn message(const std::string& id, std::size_t size = 20) {
-  TakenOn m;
+AcceptedMessage message(const std::string& id, std::size_t size = 20) {
+  AcceptedMessage m;
   m.id = id;
   m.message_class = "payment";
   m.idempotency_key = "key" + id;
@@ -40,7 +40,7 @@
 
 // A disk in memory. A kill stops it in the middle of a call and keeps what was written; a power cut loses any
 // part of what was not synced.
-class Disk : public Files {
+class Disk : public FileSystem {
  public:
   explicit Disk(unsigned seed = 1) : rnd_(seed) {}
 
@@ -616,7 +616,7 @@
       std::vector<std::string> sending;
       for (int n = below(4); n > 0; --n) {
         const std::string id = "m" + std::to_string(++ids_);
-        TakenOn m = message(id, static_cast<std::size_t>(below(900)));
+        AcceptedMessage m = message(id, static_cast<std::size_t>(below(900)));
         m.give_up_at = Deadline::after(now_.monotonic, m.span);
         if (!j.reserve(m))
           continue;
--- a/tests/support/scheduler_fixture.h
+++ b/tests/support/scheduler_fixture.h
@@ -1,4 +1,4 @@
-// Helpers for the tests: settings in plain figures and a small driver of one Sender.
+// Helpers for the tests: settings in plain figures and a small driver of one DeliveryScheduler.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000000;
 
-inline MessageClass makeClass(const std::string& name, Effect effect, Micros aim = 2 * kS) {
+inline MessageClass makeClass(const std::string& name, Idempotency effect, Micros aim = 2 * kS) {
   MessageClass c;
   c.name = name;
   c.effect = effect;
@@ -27,8 +27,8 @@
 
 inline Settings makeSettings() {
   Settings s;
-  s.classes = {makeClass("safe", Effect::safe), makeClass("keyed", Effect::keyed),
-               makeClass("unsafe", Effect::unsafe)};
+  s.classes = {makeClass("safe", Idempotency::idempotent), makeClass("keyed", Idempotency::with_key),
+               makeClass("unsafe", Idempotency::non_idempotent)};
   s.kinds = {{"shared", false, 1}, {"apart", true, 1}, {"batch", false, 3}};
   s.zones = {"a", "b"};
   s.slots = 8;
@@ -47,9 +47,9 @@
   return s;
 }
 
-inline Endpoint makeEndpoint(const std::string& id, std::int64_t dest, const std::string& kind = "shared",
-                             double weight = 0, const std::string& zone = "a") {
-  Endpoint e;
+inline EndpointInfo makeEndpoint(const std::string& id, std::int64_t dest, const std::string& kind = "shared",
+                                 double weight = 0, const std::string& zone = "a") {
+  EndpointInfo e;
   e.id = id;
   e.zone = zone;
   e.kind = kind;
@@ -66,8 +66,8 @@
     now = t;
     return *this;
   }
-  void list(std::vector<Endpoint> endpoints, ListKind kind = ListKind::cached) {
-    run({ListUpdate{kind, std::move(endpoints)}});
+  void list(std::vector<EndpointInfo> endpoints, EndpointUpdateKind kind = EndpointUpdateKind::cached) {
+    run({EndpointsChanged{kind, std::move(endpoints)}});
   }
   Arrival arrival(const std::string& id, const std::string& cls, std::int64_t dest,
                   const std::string& key = "") {
@@ -85,28 +85,29 @@
                                   const std::string& key = "") {
     return run({arrival(id, cls, dest, key)});
   }
-  Outcome outcome(const std::string& id, int attempt, Result r, Micros rtt = 100 * kMs, Micros wait = 0) {
-    Outcome o;
+  AttemptOutcome outcome(const std::string& id, int attempt, AttemptResult r, Micros rtt = 100 * kMs,
+                         Micros wait = 0) {
+    AttemptOutcome o;
     o.id = id;
     o.attempt = attempt;
     o.result = r;
-    o.finished = r == Result::ok;
+    o.finished = r == AttemptResult::ok;
     o.rtt = rtt;
     o.wait = wait;
     return o;
   }
-  std::vector<std::string> end(const std::string& id, int attempt, Result r, Micros rtt = 100 * kMs,
+  std::vector<std::string> end(const std::string& id, int attempt, AttemptResult r, Micros rtt = 100 * kMs,
                                Micros wait = 0) {
     return run({outcome(id, attempt, r, rtt, wait)});
   }
-  std::vector<std::string> wake() { return run({Wake{}}); }
+  std::vector<std::string> wake() { return run({TimerFired{}}); }
 
   // Runs one turn; returns the ids of the messages sent, in order.
   std::vector<std::string> run(const std::vector<Event>& events) {
     acts = sender.decide(now, events);
     std::vector<std::string> sent;
     for (const Action& a : acts)
-      if (const auto* s = std::get_if<Send>(&a)) {
+      if (const auto* s = std::get_if<SendAttempt>(&a)) {
         sent.push_back(s->id);
         where[s->id] = s->endpoint;
         timeout[s->id] = s->timeout;
@@ -123,7 +124,7 @@
   }
 
   Settings set;
-  Sender sender;
+  DeliveryScheduler sender;
   Micros now = 0;
   std::vector<Action> acts;
   std::map<std::string, std::string> where;
--- a/tests/support/throwing_scheduler.cpp
+++ b/tests/support/throwing_scheduler.cpp
@@ -5,10 +5,10 @@
 
 namespace delivery {
 
-struct Sender::Impl {};
-Sender::Sender(Settings, std::uint64_t) {}
-Sender::~Sender() = default;
-std::vector<Action> Sender::decide(Micros, const std::vector<Event>&) {
+struct DeliveryScheduler::Impl {};
+DeliveryScheduler::DeliveryScheduler(Settings, std::uint64_t) {}
+DeliveryScheduler::~DeliveryScheduler() = default;
+std::vector<Action> DeliveryScheduler::decide(Micros, const std::vector<Event>&) {
   throw std::out_of_range("tag without a message");
 }
 
