--- a/src/common/deadline.h
+++ b/src/common/deadline.h
@@ -19,7 +19,7 @@
   }
 
   Micros at() const { return at_; }
-  Micros left(Micros now) const { return at_ - now; }  // negative: over
+  Micros remaining(Micros now) const { return at_ - now; }  // negative: over
   friend bool operator==(Deadline a, Deadline b) { return a.at_ == b.at_; }
   friend bool operator<(Deadline a, Deadline b) { return a.at_ < b.at_; }
 
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -84,8 +84,9 @@
 
   Impl(Settings s, std::uint64_t seed) : set(std::move(s)), random(seed) {
     tenant_rate.resize(set.tenants.size());
-    for (const auto& c : set.classes) least_aim = std::min(least_aim, static_cast<double>(c.aim));
-    ask_at = set.list == DiscoveryMode::poll ? 0 : kNever;
+    for (const auto& c : set.classes)
+      least_aim = std::min(least_aim, static_cast<double>(c.latency_objective));
+    ask_at = set.discovery_mode == DiscoveryMode::poll ? 0 : kNever;
   }
 
   // ==== 1. Tags
@@ -99,15 +100,16 @@
 
   double weightOf(const Destination& d) const {
     for (const Endpoint* s : d.servers)
-      if (s->state == EndpointState::ready && set.weights != WeightKind::none && s->weight > 0)
+      if (s->state == EndpointState::ready && set.weight_kind != WeightKind::none && s->weight > 0)
         return s->weight;
     return 1;
   }
 
   // M: one start for each aim of the most urgent held class.
   void updatePeriod(Destination& d) {
-    d.period = static_cast<double>(d.held.front()->cls->aim);
-    for (const Message* m : d.held) d.period = std::min(d.period, static_cast<double>(m->cls->aim));
+    d.period = static_cast<double>(d.held.front()->cls->latency_objective);
+    for (const Message* m : d.held)
+      d.period = std::min(d.period, static_cast<double>(m->cls->latency_objective));
   }
 
   void hold(Message& m, Micros not_before) {
@@ -166,16 +168,16 @@
     const double deadline = std::max(aim, static_cast<double>(c.deadline));
     double share = 1;
     if (age >= deadline) return 0;
-    if (age > aim && set.late == LateDecay::linear)
-      share = 1 - (1 - c.late_worth) * (age - aim) / (deadline - aim);
+    if (age > aim && set.late_decay == LateDecay::linear)
+      share = 1 - (1 - c.late_weight_share) * (age - aim) / (deadline - aim);
     else if (age > aim)
-      share = std::max(c.late_worth, std::exp2(-(age - aim) / aim));
-    return c.worth * share * tenantFactor(m.tenant);
+      share = std::max(c.late_weight_share, std::exp2(-(age - aim) / aim));
+    return c.priority_weight * share * tenantFactor(m.tenant);
   }
 
   // ==== 2. Upper bound
 
-  bool apart(const Endpoint& s) const { return s.kind->routes_apart; }
+  bool apart(const Endpoint& s) const { return s.kind->independent_routes; }
   Guard& scope(Endpoint& s) { return apart(s) ? s.guard : s.dest->guard; }
 
   double readyServers(const Destination& d) const {
@@ -184,12 +186,12 @@
     return std::max(1.0, static_cast<double>(n));
   }
 
-  bool cold(const Guard& g) const { return g.down || now - g.cold_since < set.ramp_time; }
+  bool cold(const Guard& g) const { return g.down || now - g.cold_since < set.slow_start_time; }
 
   // What this sender may count on of a limit: an even part, or what it wants up to a fixed part. Guards busy
   // ones of many against starving on even parts. Harm: if all are busy the limit is overrun until refusals.
   double portion(double limit, double want) const {
-    return std::max(1.0 / set.senders, std::min(want / std::max(limit, 1e-9), kShareMost));
+    return std::max(1.0 / set.sender_count, std::min(want / std::max(limit, 1e-9), kShareMost));
   }
 
   // Calls a second that a guard lets this sender send. The limit is the whole destination's, `own` this
@@ -210,7 +212,7 @@
   // rare never try. Harm: a destination that was never away is slowed for RampTimeMs.
   double coldRate(const Guard& g, double limit, double own) const {
     const double warmth = std::min(1.0, static_cast<double>(now - g.cold_since) / kSecond / trafficSpan());
-    const double share = set.cold_share + (1 - set.cold_share) * (g.down ? 0 : warmth);
+    const double share = set.slow_start_share + (1 - set.slow_start_share) * (g.down ? 0 : warmth);
     if (limit > 0 && !g.learned) own = limit * portion(limit, own);
     return std::max(own, 1 / trafficSpan()) * share * set.overload_factor;
   }
@@ -221,14 +223,16 @@
     return g.down ? std::uniform_real_distribution<double>(0, most * kSecond)(random) : 0;
   }
 
-  double fallSpan() const { return static_cast<double>(std::max<Micros>(1, set.fall_span)); }
-  double trafficSpan() const { return static_cast<double>(std::max<Micros>(1, set.ramp_time)) / kSecond; }
+  double fallSpan() const { return static_cast<double>(std::max<Micros>(1, set.overload_window)); }
+  double trafficSpan() const {
+    return static_cast<double>(std::max<Micros>(1, set.slow_start_time)) / kSecond;
+  }
   double perSecond(const Rate& r) const { return r.rate * decay(now - r.at) / seen(r); }
   double decay(Micros t) const { return std::exp(-static_cast<double>(t) / kSecond / trafficSpan()); }
   // The part of the span that has been seen: without it all rates start from nothing for RampTimeMs. Not for
   // one of many, to which a few messages are no stream.
   double seen(const Rate& r) const {
-    return many() ? 1 : 1 - decay(std::max(now - r.since, set.fall_span + 1));
+    return many() ? 1 : 1 - decay(std::max(now - r.since, set.overload_window + 1));
   }
   void count(Rate& r) {
     if (r.since < 0) r.since = now;
@@ -236,7 +240,7 @@
     r.at = now;
   }
 
-  bool many() const { return kRare * set.senders > 1; }
+  bool many() const { return kRare * set.sender_count > 1; }
 
   // When a guard next lets a call pass; `must_by` is set for a first try that may pass pacing, see below.
   Micros opens(const Guard& g, Micros must_by) const {
@@ -266,9 +270,9 @@
   }
 
   void learnLimit(Endpoint& s, const std::optional<LoadReport>& report) {
-    if (!report || report->limit <= 0) return;
+    if (!report || report->limit_per_second <= 0) return;
     Guard& g = scope(s);
-    g.limit = g.told ? 0.75 * g.limit + 0.25 * report->limit : report->limit;
+    g.limit = g.told ? 0.75 * g.limit + 0.25 * report->limit_per_second : report->limit_per_second;
     g.told = true;
     g.learned = false;
   }
@@ -285,7 +289,7 @@
       g.part_at = now;
     }
     const double gap = std::min<double>(kStretchMost, g.refused) * kSecond / rateOf(g, g.limit, own);
-    if (!unknown && now - g.cut_at > set.fall_span / 4) {
+    if (!unknown && now - g.cut_at > set.overload_window / 4) {
       if (g.learned) {
         g.limit = std::max(perSecond(g.served), kShareCut * g.limit);
       } else {
@@ -310,7 +314,7 @@
     std::vector<double> ratios;
     for (auto it = active.begin(); it != active.end();) {
       const Guard& g = it->second->guard;
-      const bool recent = now - g.last_end < 2 * set.fall_span;
+      const bool recent = now - g.last_end < 2 * set.overload_window;
       if (recent && g.samples > 4) ratios.push_back(g.recent);
       it = recent ? std::next(it) : active.erase(it);
     }
@@ -372,13 +376,13 @@
         r == AttemptResult::error || r == AttemptResult::timeout || r == AttemptResult::reset;
     g.risk += kFailGain * ((unknown ? 1.0 : 0.0) - g.risk);
     if (r == AttemptResult::ok) {
-      const bool brief = g.failed <= kFailMost && now - g.first_bad < set.fall_span / 2;
+      const bool brief = g.failed <= kFailMost && now - g.first_bad < set.overload_window / 2;
       g.failed -= kFailGain * g.failed;
       if (g.down) {
         g.down = false;
         g.cold_since = brief ? -kNever : now;
         g.u = static_cast<double>(now);  // trials of a dead one were paced far apart
-      } else if (g.streak > 0 && g.first_bad != kNever && now - g.last_ok > set.fall_span) {
+      } else if (g.streak > 0 && g.first_bad != kNever && now - g.last_ok > set.overload_window) {
         g.cold_since = now;
       }
       g.streak = g.refused = 0;
@@ -394,8 +398,8 @@
       ++g.refused;
     }
     const Micros bad_for = now - std::max(g.last_ok, g.first_bad);
-    const bool shut = g.refused >= kStreak && bad_for > set.fall_span / 2;
-    const bool dead = g.streak > 0 && (many() || g.streak >= kStreak || bad_for > set.fall_span);
+    const bool shut = g.refused >= kStreak && bad_for > set.overload_window / 2;
+    const bool dead = g.streak > 0 && (many() || g.streak >= kStreak || bad_for > set.overload_window);
     if (g.failed > kFailMost || shut || dead) {
       if (shut && !hard) g.streak = std::max(g.streak, 1);
       away(g);
@@ -424,7 +428,7 @@
       if (!g.down) refusedAt(s, wait > 0);
       // Nothing goes there before a told wait is over; after a long one, an outage, each adds its spread.
       double spread = 0;
-      if (wait > set.fall_span / 2) {
+      if (wait > set.overload_window / 2) {
         away(g);
         spread = comeBack(g, *s.dest);
       }
@@ -436,7 +440,7 @@
   // What a restart must not forget: the next process resumes a backlog, and would push over what returns.
   void keepHealth(Endpoint& s, bool changed) {
     Guard& g = scope(s);
-    if (!changed && std::abs(g.cold_since - g.noted) <= set.fall_span / 2) return;
+    if (!changed && std::abs(g.cold_since - g.noted) <= set.overload_window / 2) return;
     g.noted = g.cold_since;
     acts.push_back(HealthRecord{apart(s) ? s.id : "", s.dest->id, g.down, g.cold_since, g.wait_until});
   }
@@ -447,12 +451,12 @@
     Guard& g = a.endpoint.empty() ? dests[a.destination].guard : s->second.guard;
     dests[a.destination].id = a.destination;
     g.down = a.down;
-    g.cold_since = g.noted = a.cold_since;
-    g.wait_until = std::max(g.wait_until, a.wait_until);
+    g.cold_since = g.noted = a.warming_since;
+    g.wait_until = std::max(g.wait_until, a.retry_after_until);
     if (a.down) g.streak = std::max(g.streak, 1);
   }
 
-  int laneSlots() const { return std::max(1, static_cast<int>(kLaneShare * set.slots)); }
+  int laneSlots() const { return std::max(1, static_cast<int>(kLaneShare * set.call_slots)); }
   int laneUsed() const {
     std::set<std::uint64_t> used;  // calls, not messages: several may share one
     for (auto& [order, o] : outs)
@@ -464,7 +468,7 @@
   // the healthy the most overdue are called off, those first that may go again: guards the slots of all
   // others against several destinations that hang together. Harm: a slow answer that would have come is lost.
   void clearLane() {
-    if (!set.may_cancel || static_cast<int>(calls.size()) < set.slots) return;
+    if (!set.may_cancel || static_cast<int>(calls.size()) < set.call_slots) return;
     int excess = laneUsed() - laneSlots();
     std::multimap<Idempotency, std::pair<Message*, std::size_t>> late;  // the oldest first, of each effect
     for (auto& [order, o] : outs) {
@@ -472,7 +476,7 @@
       if (a.called_off)
         --excess;
       else if (a.late && sick(*a.server))
-        late.insert({o.first->cls->effect, o});
+        late.insert({o.first->cls->idempotency, o});
     }
     for (auto& [effect, o] : late) {
       if (excess-- <= 0) return;
@@ -491,15 +495,16 @@
   // the destination drops repeats; never two out at once unless the site allows copies.
   bool maySend(const Message& m, const Endpoint& s) const {
     if (static_cast<int>(m.attempts.size()) >= set.max_attempts) return false;
-    if (m.out > 0 && !set.may_copy) return false;
-    if (m.cls->effect == Idempotency::idempotent || !mayHaveRun(m)) return true;
-    if (m.cls->effect == Idempotency::non_idempotent) return false;
+    if (m.out > 0 && !set.may_hedge) return false;
+    if (m.cls->idempotency == Idempotency::idempotent || !mayHaveRun(m)) return true;
+    if (m.cls->idempotency == Idempotency::non_idempotent) return false;
     for (const Attempt& a : m.attempts) {
       if (!a.may_have_run) continue;
-      if (m.cls->group != DeduplicationScope::all && (!a.server || a.server->zone != s.zone)) return false;
-      if (m.cls->group == DeduplicationScope::cell && a.server->dest != s.dest) return false;
+      if (m.cls->deduplication_scope != DeduplicationScope::all && (!a.server || a.server->zone != s.zone))
+        return false;
+      if (m.cls->deduplication_scope == DeduplicationScope::cell && a.server->dest != s.dest) return false;
       // Its connection may first have to come up, and the repeat arrives so much later.
-      if (now > a.sent + m.cls->memory - 2 * set.tick - set.dial_timeout) return false;
+      if (now > a.sent + m.cls->deduplication_window - 2 * set.tick - set.connect_timeout) return false;
     }
     return true;
   }
@@ -508,8 +513,9 @@
 
   // A refusal promises that handing the message in again does no harm.
   bool mayRefuse(const Message& m) const {
-    if (m.cls->effect == Idempotency::idempotent || !mayHaveRun(m)) return true;
-    return m.cls->effect == Idempotency::with_key && m.cls->group == DeduplicationScope::all;
+    if (m.cls->idempotency == Idempotency::idempotent || !mayHaveRun(m)) return true;
+    return m.cls->idempotency == Idempotency::with_key &&
+           m.cls->deduplication_scope == DeduplicationScope::all;
   }
 
   // None where a told wait outlasts the message.
@@ -536,7 +542,7 @@
     const double left = static_cast<double>(std::max<Micros>(1, m.end_at - now));
     const Guard& g = s.guard;
     const double slowness = std::max({1.0, common_slow, g.samples > 0 ? g.recent : 1.0});
-    const double patience = m.cls->effect == Idempotency::non_idempotent ? kUnsafePatience : 1;
+    const double patience = m.cls->idempotency == Idempotency::non_idempotent ? kUnsafePatience : 1;
     const double most = kTimeoutRatio * patience * usualLatency(s) * slowness;
     return static_cast<Micros>(std::min(left, std::max({1.0, static_cast<double>(set.tick), most})));
   }
@@ -554,17 +560,21 @@
     if (idled >= dead_least) dead_score = 0, dead_least = kNever;
     if (d.lost_idle < 0 || (idled >= 0 && idled < d.lost_idle)) return;
     if (idled < 0) {
-      dead_score *= std::exp(-static_cast<double>(now - dead_at) / static_cast<double>(set.ramp_time + 1));
+      dead_score *=
+          std::exp(-static_cast<double>(now - dead_at) / static_cast<double>(set.slow_start_time + 1));
       ++dead_score;
-      dead_least = now - dead_at < set.ramp_time ? std::min(dead_least, d.lost_idle) : d.lost_idle;
+      dead_least = now - dead_at < set.slow_start_time ? std::min(dead_least, d.lost_idle) : d.lost_idle;
       dead_at = now;
     }
     d.lost_idle = -1;
   }
 
   Micros takeConnection(Endpoint& s) {
-    while (!s.idle.empty() && set.conn_idle > 0 && now - s.idle.front() >= set.conn_idle) s.idle.pop_front();
-    const bool dead = dead_score > kDeadSigns / (many() ? 2 : 1) && now - dead_at < kSuspect * set.ramp_time;
+    while (!s.idle.empty() && set.connection_idle_timeout > 0 &&
+           now - s.idle.front() >= set.connection_idle_timeout)
+      s.idle.pop_front();
+    const bool dead =
+        dead_score > kDeadSigns / (many() ? 2 : 1) && now - dead_at < kSuspect * set.slow_start_time;
     if (dead && !s.idle.empty() && now - s.idle.front() >= dead_least / 2) {
       acts.push_back(CloseIdleConnections{s.id});
       s.idle.clear();
@@ -582,9 +592,9 @@
     s.idle.push_back(now);
     const double others =
         std::max(0.0, perSecond(s.dest->traffic) - 1 / trafficSpan()) / readyServers(*s.dest);
-    const double least = kReuseLeast * std::min(1.0, set.senders / kCrowd);
-    const bool full_table = many() && now - s.no_connect < kSuspect * set.ramp_time;
-    if (!full_table && others * static_cast<double>(set.conn_idle) / kSecond >= least) return;
+    const double least = kReuseLeast * std::min(1.0, set.sender_count / kCrowd);
+    const bool full_table = many() && now - s.no_connect < kSuspect * set.slow_start_time;
+    if (!full_table && others * static_cast<double>(set.connection_idle_timeout) / kSecond >= least) return;
     acts.push_back(CloseIdleConnections{s.id});
     s.idle.clear();
   }
@@ -602,7 +612,7 @@
     } else {
       call = ++next_call;
       idled = takeConnection(s);
-      forming[&s] = {call, s.kind->per_call - 1};
+      forming[&s] = {call, s.kind->messages_per_call - 1};
       ++s.out;
       const double n = readyServers(d), own = perSecond(d.traffic);
       charge(s.guard, apart(s) ? s.guard.limit : d.guard.limit / n, own / n);
@@ -641,7 +651,7 @@
     // A message that can't be repeated is no trial: it would be lost where calls end in the unknown. It goes
     // after all when half of its time is used up.
     const bool risky = std::max(g.risk, s.guard.risk) > kRiskMost;
-    return !(m.cls->effect == Idempotency::non_idempotent && risky &&
+    return !(m.cls->idempotency == Idempotency::non_idempotent && risky &&
              now - m.handed_in < m.cls->deadline / 2);
   }
 
@@ -652,7 +662,7 @@
     auto key = [&](Endpoint& s) {
       std::size_t zone = 0;
       while (zone < set.zones.size() && set.zones[zone] != s.zone) ++zone;
-      const double fee = apart(s) && zone < set.zone_fee.size() ? set.zone_fee[zone] : 0;
+      const double fee = apart(s) && zone < set.zone_cost.size() ? set.zone_cost[zone] : 0;
       return std::make_tuple(sick(s) ? 1 : 0, fee, s.out, s.idle.empty(), s.used);
     };
     for (Endpoint* s : d.servers) {
@@ -704,7 +714,7 @@
     bool more = true;
     while (more) {
       more = false;
-      if (static_cast<int>(calls.size()) >= set.slots) return;
+      if (static_cast<int>(calls.size()) >= set.call_slots) return;
       for (auto [tag, d] : tagOrder()) {
         Pick p = choose(*d);
         if (!p.first || (sick(*p.second) && laneUsed() >= laneSlots())) {
@@ -738,7 +748,7 @@
     Attempt& a = m.attempts[static_cast<std::size_t>(o.attempt)];
     if (!a.out) return;
     Micros& until = scope(*a.server).wait_until;
-    if (o.still_out) return void(until = std::max(until, now + o.wait));
+    if (o.still_in_flight) return void(until = std::max(until, now + o.retry_after));
     settle(m, a);
     if (o.result == AttemptResult::ok || o.result == AttemptResult::error ||
         o.result == AttemptResult::throttled)
@@ -748,15 +758,15 @@
     a.may_have_run = !(o.result == AttemptResult::throttled || o.result == AttemptResult::connect_failed ||
                        o.result == AttemptResult::not_sent);
     if (o.result == AttemptResult::connect_failed) a.server->no_connect = now;
-    learnLimit(*a.server, o.report);
-    learn(*a.server, o.result, o.rtt > 0 ? o.rtt : now - a.sent, o.wait);
+    learnLimit(*a.server, o.load_report);
+    learn(*a.server, o.result, o.round_trip_time > 0 ? o.round_trip_time : now - a.sent, o.retry_after);
     const bool runs_on = a.may_have_run && o.result != AttemptResult::ok && o.result != AttemptResult::error;
     if (runs_on && !m.key.empty()) {
       KeyLine& k = keys[m.key];
-      k.quiet_until = std::max(k.quiet_until, now + set.order_pause);
+      k.quiet_until = std::max(k.quiet_until, now + set.ordering_pause);
       next_wake = std::min(next_wake, k.quiet_until);
     }
-    for (std::size_t i = o.wait > 0 ? a.server->dest->held.size() : 0; i-- > 0;) {
+    for (std::size_t i = o.retry_after > 0 ? a.server->dest->held.size() : 0; i-- > 0;) {
       Message& held = *a.server->dest->held[i];
       if (!anySendLeft(held)) giveUp(held, true);
     }
@@ -789,7 +799,7 @@
     if (m.ended) return;
     if (worth_a_return && mayRefuse(m)) {
       const Micros open_in = std::max(drainTime(*m.dest), m.dest->guard.wait_until - now);
-      const Micros pause = set.told_pause ? std::min(set.max_pause, open_in) : 0;
+      const Micros pause = set.retry_after_supported ? std::min(set.max_retry_after, open_in) : 0;
       acts.push_back(Reject{m.id, pause});
     } else {
       acts.push_back(Fail{m.id});
@@ -817,15 +827,15 @@
   // What a message of a tenant is worth, as far as this sender can tell: the part inside its share in full.
   double tenantFactor(int t) const {
     if (t < 0) return 1;
-    const double quota = set.tenants[static_cast<std::size_t>(t)].quota / set.senders;
+    const double quota = set.tenants[static_cast<std::size_t>(t)].quota / set.sender_count;
     const double rate = perSecond(tenant_rate[static_cast<std::size_t>(t)]);
     if (quota <= 0 || rate <= quota) return 1;
-    return quota / rate + (1 - quota / rate) * set.over_share_worth;
+    return quota / rate + (1 - quota / rate) * set.over_quota_weight;
   }
 
   void on(const Arrival& a) {
     Message* m = take(a);
-    if (m && (open > set.max_open || !anySendLeft(*m))) giveUp(*m, true);
+    if (m && (open > set.max_messages || !anySendLeft(*m))) giveUp(*m, true);
   }
 
   Message* take(const Arrival& a) {
@@ -844,10 +854,10 @@
     m.dest->id = a.destination;
     count(m.dest->traffic);
     m.came = now;
-    m.handed_in = std::min(now, a.give_up_at.left(c->deadline));
-    const auto stretched = static_cast<Micros>(c->aim_stretch * static_cast<double>(a.estimate));
-    m.aim = std::min(c->deadline, c->aim + stretched);
-    m.end_at = a.give_up_at.left(2 * set.tick);
+    m.handed_in = std::min(now, a.deadline.remaining(c->deadline));
+    const auto stretched = static_cast<Micros>(c->objective_stretch * static_cast<double>(a.work_estimate));
+    m.aim = std::min(c->deadline, c->latency_objective + stretched);
+    m.end_at = a.deadline.remaining(2 * set.tick);
     m.order = ++next_order;
     if (c->ordered && !a.order_key.empty()) {
       m.key = a.order_key;
@@ -865,12 +875,12 @@
   void on(const RecoveredMessage& r) {
     Message* m = take(r.message);
     if (!m) return;
-    m->resumed = r.restarted;
+    m->resumed = r.after_restart;
     door = m->order;
     for (const RecoveredAttempt& p : r.attempts) {
       auto s = servers.find(p.endpoint);
       Endpoint* server = s == servers.end() ? nullptr : &s->second;
-      const Attempt a{server, p.sent, ++next_call, 0, p.out && server, p.may_have_run};
+      const Attempt a{server, p.sent_at, ++next_call, 0, p.in_flight && server, p.may_have_run};
       if (a.out) ++server->out;
       a.out ? track(*m, a) : m->attempts.push_back(a);
     }
@@ -889,9 +899,10 @@
   // With all slots busy so are those that would come late, down to a short queue: else all come late. Only
   // for one of many: of few senders all are busy in an outage only. Harm: refused in a short burst.
   void shed() {
-    const int most = std::max(1, set.max_open - std::max(1, static_cast<int>(kHoldReserve * set.max_open)));
-    const bool busy = many() && static_cast<int>(calls.size()) >= set.slots;
-    const double each = busy ? typical * common_slow / set.slots : 0;
+    const int most =
+        std::max(1, set.max_messages - std::max(1, static_cast<int>(kHoldReserve * set.max_messages)));
+    const bool busy = many() && static_cast<int>(calls.size()) >= set.call_slots;
+    const double each = busy ? typical * common_slow / set.call_slots : 0;
     double wait = 0;  // for a slot, of those that lack nothing else
     for (auto& [id, d] : backlog)
       if (d->blocked_at != now) wait += each * static_cast<double>(d->held.size());
@@ -900,7 +911,7 @@
     for (auto& [id, d] : backlog) {
       const Micros then = now + std::max(drainTime(*d), static_cast<Micros>(wait));
       for (Message* m : d->held) {
-        const double price = promised(*m) ? kReturned * m->cls->worth : 0;
+        const double price = promised(*m) ? kReturned * m->cls->priority_weight : 0;
         if (mayRefuse(*m) && !owedTry(m))
           least.insert({worthAt(*m, then) + price + 1e-3 * worthAt(*m, now), m->order, m});
       }
@@ -925,9 +936,9 @@
     if (u.kind == EndpointUpdateKind::failed) {
       // The registry turned the call away: ask again, ever later, so that many senders don't hammer it.
       ask_failures = std::min(ask_failures + 1, 6);
-      const double base = static_cast<double>(std::max<Micros>(1, set.ask_within)) / 64;
+      const double base = static_cast<double>(std::max<Micros>(1, set.poll_interval)) / 64;
       const double jitter = 0.5 + std::uniform_real_distribution<double>(0, 1)(random);
-      if (set.list == DiscoveryMode::poll)
+      if (set.discovery_mode == DiscoveryMode::poll)
         ask_at = now + static_cast<Micros>(base * std::exp2(ask_failures) * jitter / 2);
       return;
     }
@@ -941,7 +952,7 @@
       s.state = e.state;
       s.weight = e.weight;
       s.kind = &plain_kind;
-      for (const DestinationKind& k : set.kinds)
+      for (const DestinationKind& k : set.destination_kinds)
         if (k.name == e.kind) s.kind = &k;
       Destination& d = dests[e.destination];
       if (s.dest != &d) {
@@ -952,7 +963,7 @@
         d.servers.push_back(&s);
       }
       Guard& g = scope(s);
-      if (!g.told && e.weight > 0 && set.weights != WeightKind::none) g.limit = e.weight;
+      if (!g.told && e.weight > 0 && set.weight_kind != WeightKind::none) g.limit = e.weight;
       if (g.part_at == 0) g.part = std::min(1.0, kShareStart * portion(g.limit, 1e12));
       g.part_at = now;
     }
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -25,15 +25,15 @@
 
 struct MessageClass {
   std::string name;
-  Micros aim = 0;       // full worth when delivered within this
-  Micros deadline = 0;  // given up after this
-  double aim_stretch = 0;
-  double worth = 1;
-  double late_worth = 0;  // share of the worth left at the deadline
-  Idempotency effect = Idempotency::idempotent;
-  DeduplicationScope group = DeduplicationScope::all;
-  Micros memory = 0;     // keyed: how long a repeat is dropped
-  bool ordered = false;  // one at a time per order key
+  Micros latency_objective = 0;  // full worth when delivered within this
+  Micros deadline = 0;           // given up after this
+  double objective_stretch = 0;
+  double priority_weight = 1;
+  double late_weight_share = 0;  // share of the worth left at the deadline
+  Idempotency idempotency = Idempotency::idempotent;
+  DeduplicationScope deduplication_scope = DeduplicationScope::all;
+  Micros deduplication_window = 0;  // keyed: how long a repeat is dropped
+  bool ordered = false;             // one at a time per order key
 };
 
 struct Tenant {
@@ -44,39 +44,39 @@
 
 struct DestinationKind {  // a kind of destination
   std::string name;
-  bool routes_apart = false;  // each endpoint has its own limit, waits and outages
-  int per_call = 1;           // messages that may share a call
+  bool independent_routes = false;  // each endpoint has its own limit, waits and outages
+  int messages_per_call = 1;        // messages that may share a call
 };
 
 struct Settings {
   std::vector<MessageClass> classes;
   std::vector<Tenant> tenants;
-  std::vector<DestinationKind> kinds;
-  std::vector<double> zone_fee;  // by position in zones
+  std::vector<DestinationKind> destination_kinds;
+  std::vector<double> zone_cost;  // by position in zones
   std::vector<std::string> zones;
-  LateDecay late = LateDecay::linear;
-  WeightKind weights = WeightKind::none;
-  DiscoveryMode list = DiscoveryMode::push;
-  int senders = 1;   // how many senders share the destinations
-  int slots = 1;     // calls out at once
-  int max_open = 1;  // messages held, sent or not
+  LateDecay late_decay = LateDecay::linear;
+  WeightKind weight_kind = WeightKind::none;
+  DiscoveryMode discovery_mode = DiscoveryMode::push;
+  int sender_count = 1;  // how many senders share the destinations
+  int call_slots = 1;    // calls out at once
+  int max_messages = 1;  // messages held, sent or not
   int max_attempts = 1;
   bool may_cancel = false;
-  bool may_copy = false;    // two attempts of a message out at once
-  bool told_pause = false;  // does a client hear Reject::pause?
-  Micros tick = 0;          // shortest gap between two calls of decide
+  bool may_hedge = false;              // two attempts of a message out at once
+  bool retry_after_supported = false;  // does a client hear Reject::pause?
+  Micros tick = 0;                     // shortest gap between two calls of decide
   Micros answer_slack = 0;
-  Micros ask_within = 0;  // list by asking: unasked for this long, the list counts as told
+  Micros poll_interval = 0;  // list by asking: unasked for this long, the list counts as told
   Micros drain_grace = 0;
-  Micros fall_span = 0;  // a cold destination overloaded for this long falls over
-  Micros ramp_time = 0;  // warm after this at the latest
-  Micros order_pause = 0;
-  Micros dial_timeout = 0;
-  Micros conn_idle = 0;
-  Micros max_pause = 0;        // the longest pause that a client honours
-  double cold_share = 1;       // share of capacity right after an outage
-  double overload_factor = 1;  // times present capacity that makes it fall
-  double over_share_worth = 1;
+  Micros overload_window = 0;  // a cold destination overloaded for this long falls over
+  Micros slow_start_time = 0;  // warm after this at the latest
+  Micros ordering_pause = 0;
+  Micros connect_timeout = 0;
+  Micros connection_idle_timeout = 0;
+  Micros max_retry_after = 0;   // the longest pause that a client honours
+  double slow_start_share = 1;  // share of capacity right after an outage
+  double overload_factor = 1;   // times present capacity that makes it fall
+  double over_quota_weight = 1;
 };
 
 enum class EndpointState { ready, draining, removed };
@@ -90,9 +90,9 @@
   double weight = 0;  // calls a second that the destination (or route) takes, see WeightKind
 };
 
-struct LoadReport {  // what an answer told of the destination's limit
-  double left = 0;   // share of the allowance left
-  double limit = 0;  // calls a second; 0: no limit
+struct LoadReport {             // what an answer told of the destination's limit
+  double remaining_share = 0;   // share of the allowance left
+  double limit_per_second = 0;  // calls a second; 0: no limit
 };
 
 enum class AttemptResult { ok, error, throttled, timeout, connect_failed, reset, cancelled, not_sent };
@@ -101,20 +101,20 @@
 struct Arrival {
   std::string id, message_class, tenant, order_key;
   std::int64_t destination = 0;
-  Deadline give_up_at;
-  Micros estimate = 0;  // guess of its own work, 0: none
-  bool repeat = false;  // a client's next try, or held before by a sender that died
+  Deadline deadline;
+  Micros work_estimate = 0;  // guess of its own work, 0: none
+  bool is_retry = false;     // a client's next try, or held before by a sender that died
 };
 // A message that this sender had taken on before its process ended, with its attempts.
 struct RecoveredAttempt {
   std::string endpoint;  // may be listed no more, or unknown
-  Micros sent = 0;       // may be before the first turn
+  Micros sent_at = 0;    // may be before the first turn
   bool may_have_run = true;
-  bool out = false;  // the process before still has it out, and its outcome will come
+  bool in_flight = false;  // the process before still has it out, and its outcome will come
 };
 struct RecoveredMessage {
   Arrival message;
-  bool restarted = true;  // false: from a process that hands over, and is one sender with this one
+  bool after_restart = true;  // false: from a process that hands over, and is one sender with this one
   std::vector<RecoveredAttempt> attempts;
 };
 // The health of a destination, or of an endpoint that is a route apart, for the next process of this sender:
@@ -123,8 +123,8 @@
   std::string endpoint;  // empty: the destination
   std::int64_t destination = 0;
   bool down = false;
-  Micros cold_since = 0;
-  Micros wait_until = 0;  // told to wait
+  Micros warming_since = 0;
+  Micros retry_after_until = 0;  // told to wait
 };
 // This process ends at `at`: an outcome that comes later is not heard.
 struct ShutdownScheduled {
@@ -138,10 +138,10 @@
   int attempt = 0;
   AttemptResult result = AttemptResult::ok;
   bool finished = false;
-  bool still_out = false;  // no outcome yet, just the wait that its answer has told
-  Micros wait = 0;         // full: nothing to this destination for so long; 0: none told
-  Micros rtt = 0;
-  std::optional<LoadReport> report;
+  bool still_in_flight = false;  // no outcome yet, just the wait that its answer has told
+  Micros retry_after = 0;        // full: nothing to this destination for so long; 0: none told
+  Micros round_trip_time = 0;
+  std::optional<LoadReport> load_report;
 };
 enum class EndpointUpdateKind { delta, full, cached, failed };
 struct EndpointsChanged {
@@ -163,7 +163,7 @@
 };
 struct Reject {
   std::string id;
-  Micros pause = 0;
+  Micros retry_after = 0;
 };  // final: handing it in again is harmless
 struct Fail {
   std::string id;
@@ -173,7 +173,7 @@
   std::string endpoint;
 };
 struct SetTimer {
-  Micros span = 0;
+  Micros delay = 0;
 };
 using Action = std::variant<SendAttempt, CancelAttempt, Reject, Fail, SubscribeEndpoints,
                             CloseIdleConnections, SetTimer, HealthRecord>;
--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -52,7 +52,7 @@
     } else if (name == "d") {
       if (!wholeNumber(value, n) || n == 0 || n > kLongestMs)
         return "malformed d";
-      m.span = n * 1000;
+      m.time_to_live = n * 1000;
       timed = true;
     } else if (name == "dest") {
       if (!wholeNumber(value, m.destination))
@@ -61,7 +61,7 @@
     } else if (name == "k") {
       m.idempotency_key = value;
     } else if (name == "r" || name == "again") {
-      m.repeat = m.repeat || value == "1";
+      m.is_retry = m.is_retry || value == "1";
     }
   }
   if (m.message_class.empty())
@@ -197,7 +197,7 @@
       return answer(std::string("-ERR ") + wrong);
     if (!plain(m.idempotency_key))
       return answer("-ERR malformed k");
-    m.give_up_at = Deadline::after(first_byte, m.span);
+    m.deadline = Deadline::after(first_byte, m.time_to_live);
     ++clients.unanswered_;
     clients.on_put_(std::move(m), [self = shared_from_this()](const std::string& reply) {
       --self->clients.unanswered_;
@@ -251,7 +251,7 @@
 ClientServer::ClientServer(asio::io_context& io, tcp::acceptor acceptor, Connections& rules, OnPut on_put)
     : acceptor_(std::move(acceptor)), look_(io), deadline_(io), rules_(rules), on_put_(std::move(on_put)) {
   acceptor_.non_blocking(true);
-  if (takeIn())
+  if (acceptPending())
     accept();
 }
 
@@ -294,13 +294,13 @@
     queue_.seenFull(monotonicNow());
     if (!rules_.clientFits() && !makeRoom(false))
       return lookLater();
-    if (takeIn())
+    if (acceptPending())
       accept();
   });
 }
 
 // Those that wait in the queue, as far as there is room. False: what came instead is to be tried again later.
-bool ClientServer::takeIn() {
+bool ClientServer::acceptPending() {
   while (rules_.clientFits()) {
     tcp::socket s(acceptor_.get_executor());
     error_code e;
@@ -430,14 +430,14 @@
   });
 }
 
-void ClientServer::budgetChanged() {
+void ClientServer::applyBudget() {
   if (rules_.tooMany())
     lookLater();
   serveWaiting();
   accept();
 }
 
-void ClientServer::drain() {
+void ClientServer::startDraining() {
   for (const Connections::Id id : rules_.drain(monotonicNow()))
     if (!unread(id))
       sessions_.at(id)->close();
--- a/src/network/client_server.h
+++ b/src/network/client_server.h
@@ -30,19 +30,19 @@
 
   // PING gets no yes; closes connections between requests, and those that still come or are in one once
   // answered.
-  void drain();
-  void undrain() { rules_.undrain(); }
+  void startDraining();
+  void stopDraining() { rules_.undrain(); }
   void pauseAccepting();  // who comes meanwhile waits in the backlog
   void resumeAccepting();
   void stop();  // listens no more and closes what is left
-  void budgetChanged();
-  std::size_t unanswered() const { return unanswered_; }
-  std::size_t count() const { return sessions_.size(); }
+  void applyBudget();
+  std::size_t unansweredRequests() const { return unanswered_; }
+  std::size_t connectionCount() const { return sessions_.size(); }
 
  private:
   struct Session;
   void accept();
-  bool takeIn();
+  bool acceptPending();
   void accepted(boost::asio::ip::tcp::socket s);
   bool makeRoom(bool for_bytes);
   bool unread(Connections::Id id);
--- a/src/network/discovery_client.cpp
+++ b/src/network/discovery_client.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-EndpointList::EndpointListUpdate EndpointList::read(const json& answer) {
+EndpointList::EndpointListUpdate EndpointList::apply(const json& answer) {
   if (!answer.is_object())
     bad("the list is not an object");
   const std::int64_t index = integer(answer, "index");
@@ -50,7 +50,7 @@
     l.endpoint.state = stateOf(e);
     l.address = text(e, "address", "");
     changed[l.endpoint.id] = e;
-    news.entries.push_back(std::move(l));
+    news.endpoints.push_back(std::move(l));
   }
   if (whole)
     entries_.clear();
@@ -64,7 +64,7 @@
   return news;
 }
 
-json EndpointList::all() const {
+json EndpointList::toJson() const {
   json list = json::array();
   for (const auto& [name, e] : entries_)
     list.push_back(e);
@@ -107,7 +107,7 @@
   timer_.cancel();
 }
 
-void EndpointWatch::moveTo(tcp::endpoint peer, std::string host) {
+void EndpointWatch::changeServer(tcp::endpoint peer, std::string host) {
   agent_.moveTo(std::move(peer), std::move(host));
   failures_ = 0;  // those of the old one say nothing of the new
   start(-1);
@@ -126,7 +126,7 @@
     r.target += "?from=" + std::to_string(from_) + "&hold_ms=" + std::to_string(kHold / 1000);
   const Micros limit = (from_ >= 0 ? kHold : 0) + kSilence;
   agent_.ask(std::move(r), limit, [this](const HttpAnswer& a) {
-    if (a.how != Exchanged::answered || a.status != 200 || !a.whole)
+    if (a.completion != Exchanged::answered || a.status != 200 || !a.body_complete)
       return askLater();
     try {
       from_ = on_answer_(json::parse(a.body));
@@ -151,13 +151,13 @@
   agent_.later(std::uniform_int_distribution<Micros>(pause / 2, pause * 3 / 2)(random_), [this] { ask(); });
 }
 
-void CompletionNotifier::owe(const std::string& id, const CompletionNotice& notice) {
+void CompletionNotifier::enqueue(const std::string& id, const CompletionNotice& notice) {
   owed_.emplace_back(id, notice);
   if (out_ == 0 && !waiting_)
     send();
 }
 
-void CompletionNotifier::moveTo(tcp::endpoint peer, std::string host) {
+void CompletionNotifier::changeServer(tcp::endpoint peer, std::string host) {
   agent_.moveTo(std::move(peer), std::move(host));
   out_ = 0;  // told once more: that does no harm
   waiting_ = false;
@@ -174,22 +174,22 @@
   r.fields.emplace_back("Content-Type", "application/json");
   for (std::size_t i = 0; i < out_; ++i) {
     json line{{"message", owed_[i].first},
-              {"outcome", owed_[i].second.handed_back ? "handed_back" : "given_up"}};
-    if (owed_[i].second.handed_back && owed_[i].second.retry_in_ms > 0)
-      line["retry_in_ms"] = owed_[i].second.retry_in_ms;
+              {"outcome", owed_[i].second.returned ? "handed_back" : "given_up"}};
+    if (owed_[i].second.returned && owed_[i].second.retry_after_ms > 0)
+      line["retry_in_ms"] = owed_[i].second.retry_after_ms;
     r.body += line.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
   }
   agent_.ask(std::move(r), kNoticeLimit, [this](const HttpAnswer& a) {
     const std::size_t told = out_;
     out_ = 0;
-    const bool unreadable = a.how == Exchanged::answered && a.status == 400;
+    const bool unreadable = a.completion == Exchanged::answered && a.status == 400;
     if (unreadable && told > 1) {  // one bad line must not hold up the others
       most_ = 1;
       return send();
     }
     if (unreadable)
       std::cerr << "notice that can't be read, of message " << owed_.front().first << '\n';
-    if (!unreadable && (a.how != Exchanged::answered || a.status / 100 != 2)) {
+    if (!unreadable && (a.completion != Exchanged::answered || a.status / 100 != 2)) {
       waiting_ = true;
       return agent_.later(kNoticePause, [this] {
         waiting_ = false;
--- a/src/network/discovery_client.h
+++ b/src/network/discovery_client.h
@@ -25,14 +25,14 @@
  public:
   struct EndpointListUpdate {
     EndpointUpdateKind kind = EndpointUpdateKind::delta;
-    std::vector<ListedEndpoint> entries;
+    std::vector<ListedEndpoint> endpoints;
   };
-  EndpointListUpdate read(
+  EndpointListUpdate apply(
       const json& answer);  // throws InvalidInput when it can't be read; then nothing has changed
-  json all() const;
+  json toJson() const;
   std::int64_t index() const { return index_; }
   bool empty() const { return entries_.empty(); }
-  bool has(const std::string& endpoint) const { return entries_.count(endpoint) > 0; }
+  bool contains(const std::string& endpoint) const { return entries_.count(endpoint) > 0; }
 
  private:
   std::int64_t index_ = -1;
@@ -63,7 +63,7 @@
   EndpointWatch(DiscoveryClient agent, std::uint64_t seed, OnAnswer on_answer)
       : agent_(std::move(agent)), on_answer_(std::move(on_answer)), random_(seed) {}
   void start(std::int64_t from);
-  void moveTo(tcp::endpoint peer, std::string host);  // asks there for the whole list, then watches
+  void changeServer(tcp::endpoint peer, std::string host);  // asks there for the whole list, then watches
   void stop() { agent_.stop(); }
 
  private:
@@ -83,10 +83,10 @@
   using OnTold = std::function<void(const std::string& id)>;
   CompletionNotifier(DiscoveryClient agent, OnTold on_told)
       : agent_(std::move(agent)), on_told_(std::move(on_told)) {}
-  void owe(const std::string& id, const CompletionNotice& notice);
-  void moveTo(tcp::endpoint peer, std::string host);
+  void enqueue(const std::string& id, const CompletionNotice& notice);
+  void changeServer(tcp::endpoint peer, std::string host);
   void stop() { agent_.stop(); }
-  std::size_t owed() const { return owed_.size(); }
+  std::size_t pending() const { return owed_.size(); }
 
  private:
   void send();
--- a/src/network/endpoint_pool.cpp
+++ b/src/network/endpoint_pool.cpp
@@ -18,13 +18,13 @@
 // The AttemptResult of each answer, by the protocol's table. What is not in it was at least answered: an
 // error. One that breaks off is not to be read, and may have run, but for a first line that says 200.
 AttemptResult resultOf(const HttpAnswer& a) {
-  if (a.how == Exchanged::not_written)
+  if (a.completion == Exchanged::not_written)
     return AttemptResult::connect_failed;
-  if (a.how == Exchanged::broken)
+  if (a.completion == Exchanged::broken)
     return AttemptResult::reset;
-  if (a.how == Exchanged::timed_out)
+  if (a.completion == Exchanged::timed_out)
     return AttemptResult::timeout;
-  if (!a.whole && a.status != 200)
+  if (!a.body_complete && a.status != 200)
     return AttemptResult::error;
   switch (a.status) {
     case 200:
@@ -83,7 +83,7 @@
       on_held_(std::move(on_held)),
       sweeper_(io) {}
 
-void EndpointPool::address(const std::string& endpoint, const std::string& address, bool apart) {
+void EndpointPool::setAddress(const std::string& endpoint, const std::string& address, bool apart) {
   Peer& known = peers_[endpoint];
   known.apart = apart;
   if (known.address == address)
@@ -92,7 +92,8 @@
   closeIdle(endpoint);
 }
 
-void EndpointPool::call(const AcceptedMessage& m, int attempt, const std::string& endpoint, Deadline until) {
+void EndpointPool::startCall(const AcceptedMessage& m, int attempt, const std::string& endpoint,
+                             Deadline until) {
   const CallId id{m.id, attempt};
   Call& call = calls_[id];
   call.endpoint = endpoint;
@@ -119,7 +120,7 @@
   }
   call.address = peers_[call.endpoint].address;
   HttpConnection::Heard heard;
-  heard.head = [this, id](const HttpAnswer& a) { headOf(id, a); };
+  heard.head = [this, id](const HttpAnswer& a) { onResponseHead(id, a); };
   if (!call.connection) {
     if (const auto other = rules_.idleToCloseFor(call.endpoint))
       closeOldest(*other);
@@ -129,7 +130,7 @@
       call.connection =
           std::make_unique<HttpConnection>(io_, parseAddress(call.address), call.address, kBodyLimit);
     } catch (const std::invalid_argument&) {
-      report(id, AttemptResult::connect_failed, call.began);
+      reportOutcome(id, AttemptResult::connect_failed, call.began);
       calls_.erase(id);
       return true;
     }
@@ -151,11 +152,11 @@
   r.fields.emplace_back("X-Txn", m.id);
   if (!m.idempotency_key.empty())
     r.fields.emplace_back("Idempotency-Key", m.idempotency_key);
-  r.time_left_field = "X-Remaining-Ms";
+  r.remaining_time_field = "X-Remaining-Ms";
   r.body = m.body;
   call.connection->exchange(
       std::move(r), std::max<Micros>(0, limits_.dial_timeout - waited), call.until,
-      [this, id](const HttpAnswer& a) { over(id, a); }, std::move(heard));
+      [this, id](const HttpAnswer& a) { onExchangeCompleted(id, a); }, std::move(heard));
   return true;
 }
 
@@ -164,14 +165,14 @@
   waiting_.push_back(id);
   call.patience = std::make_unique<asio::steady_timer>(io_);
   call.patience->expires_after(std::chrono::microseconds(
-      std::min(limits_.dial_timeout, std::max<Micros>(0, call.until.left(call.began)))));
+      std::min(limits_.dial_timeout, std::max<Micros>(0, call.until.remaining(call.began)))));
   call.patience->async_wait([this, id](const boost::system::error_code& e) {
     const auto it = calls_.find(id);
     if (e || it == calls_.end() || it->second.connection)
       return;
     const Micros began = it->second.began;
     calls_.erase(it);
-    report(id, AttemptResult::connect_failed, began);
+    reportOutcome(id, AttemptResult::connect_failed, began);
   });
 }
 
@@ -192,24 +193,24 @@
 void EndpointPool::withdrawUnwritten(const std::function<bool(const Call&)>& which) {
   for (auto it = calls_.begin(); it != calls_.end();) {
     Call& c = it->second;
-    if ((c.connection && c.connection->written()) || !which(c)) {
+    if ((c.connection && c.connection->requestWritten()) || !which(c)) {
       ++it;
       continue;
     }
-    report(it->first, AttemptResult::not_sent, c.began);
-    letGo(c);
+    reportOutcome(it->first, AttemptResult::not_sent, c.began);
+    releaseConnection(c);
     it = calls_.erase(it);  // closes the connection
   }
 }
 
-std::vector<std::string> EndpointPool::known() const {
+std::vector<std::string> EndpointPool::knownEndpoints() const {
   std::vector<std::string> names;
   for (const auto& [endpoint, peer] : peers_)
     names.push_back(endpoint);
   return names;
 }
 
-void EndpointPool::drained(const std::string& endpoint) {
+void EndpointPool::onEndpointDraining(const std::string& endpoint) {
   withdrawUnwritten([&](const Call& c) { return c.endpoint == endpoint; });
   if (on_held_)
     on_held_(endpoint, std::nullopt);
@@ -217,7 +218,7 @@
 }
 
 // A wait holds for calls that the module decided on before it was told, too.
-void EndpointPool::toldWait(const std::string& endpoint, std::int64_t destination) {
+void EndpointPool::onRetryAfter(const std::string& endpoint, std::int64_t destination) {
   const bool apart = peers_[endpoint].apart;
   withdrawUnwritten(
       [&](const Call& c) { return apart ? c.endpoint == endpoint : c.destination == destination; });
@@ -225,7 +226,7 @@
     on_held_(endpoint, destination);
 }
 
-void EndpointPool::letGo(Call& call) {
+void EndpointPool::releaseConnection(Call& call) {
   if (call.on == Call::On::opening)
     rules_.failedToOpen(call.endpoint);
   if (call.on == Call::On::open)
@@ -233,12 +234,13 @@
   call.on = Call::On::none;
 }
 
-void EndpointPool::over(const CallId& id, const HttpAnswer& answer) {
+void EndpointPool::onExchangeCompleted(const CallId& id, const HttpAnswer& answer) {
   auto it = calls_.find(id);
   if (it == calls_.end())
     return;
-  if (answer.stale && !it->second.called_off) {  // nothing of it was written: it goes on another connection
-    letGo(it->second);
+  if (answer.stale_connection &&
+      !it->second.called_off) {  // nothing of it was written: it goes on another connection
+    releaseConnection(it->second);
     it->second.connection.reset();
     if (!start(id, it->second))
       wait(id, it->second);
@@ -250,13 +252,13 @@
   o.result = resultOf(answer);
   if (o.result == AttemptResult::timeout && it->second.called_off)
     o.result = AttemptResult::cancelled;
-  o.finished = answer.how == Exchanged::answered && (answer.status == 200 || answer.status == 410);
+  o.finished = answer.completion == Exchanged::answered && (answer.status == 200 || answer.status == 410);
   if (o.result == AttemptResult::throttled)
-    o.wait = waitOf(answer);
+    o.retry_after = waitOf(answer);
   else
-    headOf(id, answer);  // cut off, or late: it may have run, and told a wait all the same
-  o.rtt = std::max<Micros>(1, monotonicNow() - it->second.began);
-  o.report = reportOf(answer);
+    onResponseHead(id, answer);  // cut off, or late: it may have run, and told a wait all the same
+  o.round_trip_time = std::max<Micros>(1, monotonicNow() - it->second.began);
+  o.load_report = reportOf(answer);
   // The module keeps its own count of idle connections: one is kept after the same outcomes as there.
   const bool kept = o.result == AttemptResult::ok || o.result == AttemptResult::error ||
                     o.result == AttemptResult::throttled;
@@ -264,30 +266,30 @@
   calls_.erase(it);
   if (kept)
     keep(call);
-  letGo(call);
-  if (o.wait > 0)
-    toldWait(call.endpoint, call.destination);
+  releaseConnection(call);
+  if (o.retry_after > 0)
+    onRetryAfter(call.endpoint, call.destination);
   startWaiting();
   on_outcome_(std::move(o));
 }
 
 // The body may be late, or never end: a wait counts from here on, not from the outcome.
-void EndpointPool::headOf(const CallId& id, const HttpAnswer& head) {
+void EndpointPool::onResponseHead(const CallId& id, const HttpAnswer& head) {
   const auto it = calls_.find(id);
   const Micros wait = it == calls_.end() ? 0 : waitOf(head);
   if (wait <= 0 || it->second.wait_heard)
     return;
   it->second.wait_heard = true;
-  toldWait(it->second.endpoint, it->second.destination);
+  onRetryAfter(it->second.endpoint, it->second.destination);
   AttemptOutcome o;
   o.id = id.first;
   o.attempt = id.second;
-  o.still_out = true;
-  o.wait = wait;
+  o.still_in_flight = true;
+  o.retry_after = wait;
   on_outcome_(std::move(o));
 }
 
-void EndpointPool::report(const CallId& id, AttemptResult result, Micros began) {
+void EndpointPool::reportOutcome(const CallId& id, AttemptResult result, Micros began) {
   untold_.insert(id);
   asio::post(io_, [this, id, result, began] {
     untold_.erase(id);
@@ -295,7 +297,7 @@
     o.id = id.first;
     o.attempt = id.second;
     o.result = result;
-    o.rtt = std::max<Micros>(1, monotonicNow() - began);
+    o.round_trip_time = std::max<Micros>(1, monotonicNow() - began);
     on_outcome_(std::move(o));
   });
 }
@@ -306,19 +308,19 @@
   if (it == calls_.end())
     return untold_.count({id, attempt}) > 0;
   Call& call = it->second;
-  if (call.connection && call.connection->written()) {
+  if (call.connection && call.connection->requestWritten()) {
     call.called_off = true;
-    call.connection->callOff();
+    call.connection->abandon();
     return true;
   }
-  report(it->first, AttemptResult::not_sent, call.began);
-  letGo(call);
+  reportOutcome(it->first, AttemptResult::not_sent, call.began);
+  releaseConnection(call);
   calls_.erase(it);
   startWaiting();
   return true;
 }
 
-std::vector<EndpointPool::CallId> EndpointPool::calls() const {
+std::vector<EndpointPool::CallId> EndpointPool::callsInFlight() const {
   std::vector<CallId> out;
   for (const auto& [id, call] : calls_)
     out.push_back(id);
@@ -345,7 +347,7 @@
   rules_.idleClosed(endpoint);
 }
 
-void EndpointPool::budgetChanged() {
+void EndpointPool::applyBudget() {
   while (const auto endpoint = rules_.idleTooMany())
     closeOldest(*endpoint);
   startWaiting();
--- a/src/network/endpoint_pool.h
+++ b/src/network/endpoint_pool.h
@@ -30,20 +30,21 @@
                OnHeld on_held = {});
 
   // As listed, new or changed. `apart`: a route of its own, which no wait of another route holds for.
-  void address(const std::string& endpoint, const std::string& address, bool apart = false);
+  void setAddress(const std::string& endpoint, const std::string& address, bool apart = false);
   // `until`: no answer is waited for any longer, connecting included.
-  void call(const AcceptedMessage& m, int attempt, const std::string& endpoint, Deadline until);
+  void startCall(const AcceptedMessage& m, int attempt, const std::string& endpoint, Deadline until);
   // False: no such call is out from here. What its answer has told by then still counts.
   bool cancel(const std::string& id, int attempt);
   void closeIdle(const std::string& endpoint);
-  std::vector<std::string> known() const;     // those with an address so far
-  void drained(const std::string& endpoint);  // nothing new goes there: what is not written yet never is
+  std::vector<std::string> knownEndpoints() const;  // those with an address so far
+  void onEndpointDraining(
+      const std::string& endpoint);  // nothing new goes there: what is not written yet never is
   void closeAllIdle();
   // A wait that another process was told: what is not written yet heeds it.
-  void toldWait(const std::string& endpoint, std::int64_t destination);
-  std::vector<CallId> calls() const;  // those out, or with an outcome that is still to be told
-  void budgetChanged();
-  std::size_t out() const { return calls_.size() + untold_.size(); }
+  void onRetryAfter(const std::string& endpoint, std::int64_t destination);
+  std::vector<CallId> callsInFlight() const;  // those out, or with an outcome that is still to be told
+  void applyBudget();
+  std::size_t inFlightCount() const { return calls_.size() + untold_.size(); }
   std::size_t idle() const { return rules_.idleCalls(); }
 
  private:
@@ -71,10 +72,10 @@
   void wait(const CallId& id, Call& call);
   void startWaiting();
   void withdrawUnwritten(const std::function<bool(const Call&)>& which);
-  void headOf(const CallId& id, const HttpAnswer& head);
-  void letGo(Call& call);  // its connection's place in the budget
-  void over(const CallId& id, const HttpAnswer& answer);
-  void report(const CallId& id, AttemptResult result, Micros began);
+  void onResponseHead(const CallId& id, const HttpAnswer& head);
+  void releaseConnection(Call& call);  // its connection's place in the budget
+  void onExchangeCompleted(const CallId& id, const HttpAnswer& answer);
+  void reportOutcome(const CallId& id, AttemptResult result, Micros began);
   void keep(Call& call);
   void closeOldest(const std::string& endpoint);
   void sweep();
--- a/src/network/http_connection.cpp
+++ b/src/network/http_connection.cpp
@@ -77,8 +77,8 @@
     written = header = keep = out_of_time = false;
     const std::uint64_t mine = ++turn;
     until = u;
-    time_left_field = std::move(r.time_left_field);
-    const Micros left = until.left(monotonicNow());
+    time_left_field = std::move(r.remaining_time_field);
+    const Micros left = until.remaining(monotonicNow());
     reused = open;
     if (open) {
       setTimer(mine, left);
@@ -99,7 +99,7 @@
         self->heard.connected();
       error_code ignored;
       self->socket.set_option(tcp::no_delay(true), ignored);
-      self->setTimer(mine, self->until.left(monotonicNow()));
+      self->setTimer(mine, self->until.remaining(monotonicNow()));
       self->write(mine);
     });
   }
@@ -140,7 +140,7 @@
 
   // What has no time left is not written: it could not be heard of.
   void write(std::uint64_t mine) {
-    const Micros left = until.left(monotonicNow());
+    const Micros left = until.remaining(monotonicNow());
     if (left <= 0)
       return finish(Exchanged::not_written);
     if (reused && !quiet())
@@ -232,7 +232,7 @@
   HttpAnswer soFar() const {
     HttpAnswer a;
     const auto& m = parser->get();
-    a.how = Exchanged::answered;
+    a.completion = Exchanged::answered;
     a.status = m.result_int();
     a.body = m.body();
     for (const auto& f : m)
@@ -260,9 +260,9 @@
     HttpAnswer a;
     if (how == Exchanged::answered)
       a = soFar();
-    a.how = how;
-    a.whole = whole;
-    a.stale = stale;
+    a.completion = how;
+    a.body_complete = whole;
+    a.stale_connection = stale;
     if (!keep)
       close();
     Done d = std::move(done);
@@ -302,11 +302,11 @@
   return state_->open && !state_->done && state_->quiet();
 }
 
-void HttpConnection::callOff() {
+void HttpConnection::abandon() {
   state_->setTimer(state_->turn, 0);
 }
 
-bool HttpConnection::written() const {
+bool HttpConnection::requestWritten() const {
   return state_->written;
 }
 
--- a/src/network/http_connection.h
+++ b/src/network/http_connection.h
@@ -20,7 +20,7 @@
   std::string method, target;
   std::vector<std::pair<std::string, std::string>> fields;
   std::string body;
-  std::string time_left_field;  // if named: what is left as it is written, in whole milliseconds
+  std::string remaining_time_field;  // if named: what is left as it is written, in whole milliseconds
 };
 
 enum class Exchanged {
@@ -31,10 +31,11 @@
 };
 
 struct HttpAnswer {
-  Exchanged how = Exchanged::not_written;
+  Exchanged completion = Exchanged::not_written;
   int status = 0;
-  bool whole = false;  // the body came too
-  bool stale = false;  // not written, as the other side had closed a connection that was used before
+  bool body_complete = false;  // the body came too
+  bool stale_connection =
+      false;  // not written, as the other side had closed a connection that was used before
   std::string body;
   std::vector<std::pair<std::string, std::string>> fields;
   const std::string* field(const std::string& name) const;  // in lower case
@@ -56,9 +57,9 @@
 
   // Done is called once, from the event loop, never from within this call.
   void exchange(HttpRequest request, Micros connect_limit, Deadline until, Done done, Heard heard = {});
-  void callOff();         // its time is up now: Done gets the answer that is in the socket, or that none came
+  void abandon();         // its time is up now: Done gets the answer that is in the socket, or that none came
   bool reusable() const;  // open, idle, and not closed from the other side
-  bool written() const;   // the last byte of the exchange under way is the kernel's
+  bool requestWritten() const;  // the last byte of the exchange under way is the kernel's
 
  private:
   struct State;
--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -34,39 +34,40 @@
   const Journal::Recovered& r = journal_.recovered();
   // The newer of the two lists: a drain that was heard before the restart still counts.
   json list = known;
-  const json own = json::parse(r.list, nullptr, false);
+  const json own = json::parse(r.endpoint_list, nullptr, false);
   if (own.is_object() && (!list.is_object() || number(own, "index", -1) >= number(list, "index", -1)))
     list = own;
   if (list.is_object() && !list.empty()) {
-    EndpointList::EndpointListUpdate news = list_.read(list);
+    EndpointList::EndpointListUpdate news = list_.apply(list);
     news.kind = EndpointUpdateKind::cached;
     takeList(news);
   }
-  for (HealthRecord a : r.ailments) {
+  for (HealthRecord a : r.health_records) {
     if (!waits_hold)
-      a.wait_until = 0;
+      a.retry_after_until = 0;
     add(std::move(a));
   }
   for (const Journal::Entry& e : r.entries) {
-    if (e.ended) {
-      notices_.owe(e.message.id, e.notice);
+    if (e.notice_pending) {
+      notices_.enqueue(e.message.id, e.notice);
       continue;
     }
     Held& h = held_[e.message.id];
     h.message = e.message;
     RecoveredMessage m;
-    m.restarted = !waits_hold;
+    m.after_restart = !waits_hold;
     m.message.id = e.message.id;
     m.message.message_class = e.message.message_class;
     m.message.tenant = e.message.tenant;
     m.message.order_key = e.message.order_key;
     m.message.destination = e.message.destination;
-    m.message.give_up_at = e.message.give_up_at;
-    m.message.repeat = true;
+    m.message.deadline = e.message.deadline;
+    m.message.is_retry = true;
     for (const JournaledAttempt& a : e.attempts) {
       const CallId call{m.message.id, static_cast<int>(m.attempts.size())};
       const bool still_out = !a.never_ran && out.count(call) > 0;
-      if (still_out && !list_.has(a.endpoint)) {  // it left the list: its outcome and its wait still count
+      if (still_out &&
+          !list_.contains(a.endpoint)) {  // it left the list: its outcome and its wait still count
         EndpointInfo gone;
         gone.id = a.endpoint;
         gone.destination = e.message.destination;
@@ -74,19 +75,19 @@
         add(EndpointsChanged{EndpointUpdateKind::delta, {gone}});
       }
       h.attempts.push_back(a.endpoint);
-      m.attempts.push_back({a.endpoint, a.sent, !a.never_ran, still_out});
+      m.attempts.push_back({a.endpoint, a.sent_at, !a.never_ran, still_out});
     }
     add(std::move(m));
   }
-  std::cerr << "journal: " << held_.size() << " messages resumed, " << notices_.owed() << " notices owed; "
-            << r.found << "; " << (monotonicNow() - began) / 1000 << " ms\n";
-  journal_.forgetRecovered();
+  std::cerr << "journal: " << held_.size() << " messages resumed, " << notices_.pending() << " notices owed; "
+            << r.summary << "; " << (monotonicNow() - began) / 1000 << " ms\n";
+  journal_.releaseRecovered();
 }
 
-std::int64_t DecisionDriver::list(const json& answer) {
-  const EndpointList::EndpointListUpdate news = list_.read(answer);
-  if (!news.entries.empty() || news.kind != EndpointUpdateKind::delta) {
-    journal_.listed(list_.all().dump());
+std::int64_t DecisionDriver::onEndpointList(const json& answer) {
+  const EndpointList::EndpointListUpdate news = list_.apply(answer);
+  if (!news.endpoints.empty() || news.kind != EndpointUpdateKind::delta) {
+    journal_.recordEndpointList(list_.toJson().dump());
     takeList(news);  // sends are made in turns alone, so none goes before the module has heard this
   }
   return list_.index();
@@ -96,48 +97,48 @@
   EndpointsChanged u;
   u.kind = news.kind;
   if (news.kind != EndpointUpdateKind::delta)  // what a whole list leaves out is gone
-    for (const std::string& endpoint : endpoints_.known())
-      if (!list_.has(endpoint)) {
+    for (const std::string& endpoint : endpoints_.knownEndpoints())
+      if (!list_.contains(endpoint)) {
         endpoints_.closeIdle(endpoint);
-        endpoints_.drained(endpoint);
+        endpoints_.onEndpointDraining(endpoint);
       }
-  for (const ListedEndpoint& l : news.entries) {
+  for (const ListedEndpoint& l : news.endpoints) {
     u.endpoints.push_back(l.endpoint);
     destinations_.insert(l.endpoint.destination);
-    const bool apart =
-        std::any_of(settings_.kinds.begin(), settings_.kinds.end(),
-                    [&](const DestinationKind& k) { return k.name == l.endpoint.kind && k.routes_apart; });
+    const bool apart = std::any_of(
+        settings_.destination_kinds.begin(), settings_.destination_kinds.end(),
+        [&](const DestinationKind& k) { return k.name == l.endpoint.kind && k.independent_routes; });
     if (l.endpoint.state != EndpointState::removed)
-      endpoints_.address(l.endpoint.id, l.address, apart);
+      endpoints_.setAddress(l.endpoint.id, l.address, apart);
     if (l.endpoint.state == EndpointState::removed)
       endpoints_.closeIdle(l.endpoint.id);
     if (l.endpoint.state != EndpointState::ready)
-      endpoints_.drained(l.endpoint.id);
+      endpoints_.onEndpointDraining(l.endpoint.id);
   }
   add(std::move(u));
 }
 
-void DecisionDriver::put(AcceptedMessage m, ClientServer::Reply reply) {
+void DecisionDriver::submit(AcceptedMessage m, ClientServer::Reply reply) {
   if (std::none_of(settings_.classes.begin(), settings_.classes.end(),
                    [&](const MessageClass& c) { return c.name == m.message_class; }))
     return reply("-ERR unknown class");
   if (destinations_.empty())
-    return reply(busy(settings_.max_pause));
+    return reply(busy(settings_.max_retry_after));
   if (!destinations_.count(m.destination))
     return reply("-ERR unknown destination");
   auto known = held_.find(m.id);
   if (known != held_.end())
     return reply(known->second.reply ? "-ERR handed in twice" : "+OK");
   if (!journal_.reserve(m))
-    return reply(busy(settings_.max_pause));
+    return reply(busy(settings_.max_retry_after));
   Arrival a;
   a.id = m.id;
   a.message_class = m.message_class;
   a.tenant = m.tenant;
   a.order_key = m.order_key;
   a.destination = m.destination;
-  a.give_up_at = m.give_up_at;
-  a.repeat = m.repeat;
+  a.deadline = m.deadline;
+  a.is_retry = m.is_retry;
   Held& h = held_[m.id];
   h.message = std::move(m);
   h.reply = std::move(reply);
@@ -145,7 +146,7 @@
   add(std::move(a));
 }
 
-void DecisionDriver::retire() {
+void DecisionDriver::stepDown() {
   if (!events_.empty())
     turn();
   journal_.close();
@@ -155,32 +156,32 @@
   wake_timer_.cancel();
 }
 
-void DecisionDriver::outcome(AttemptOutcome o) {
+void DecisionDriver::onOutcome(AttemptOutcome o) {
   auto it = held_.find(o.id);
   // One that another process heard: this one's calls heed its wait, too.
-  if (o.wait > 0 && it != held_.end() && o.attempt < static_cast<int>(it->second.attempts.size()))
-    endpoints_.toldWait(it->second.attempts[static_cast<std::size_t>(o.attempt)],
-                        it->second.message.destination);
-  if (o.still_out)
+  if (o.retry_after > 0 && it != held_.end() && o.attempt < static_cast<int>(it->second.attempts.size()))
+    endpoints_.onRetryAfter(it->second.attempts[static_cast<std::size_t>(o.attempt)],
+                            it->second.message.destination);
+  if (o.still_in_flight)
     return add(std::move(o));
   if (it != held_.end()) {
     if (o.finished) {
-      journal_.over(o.id);
+      journal_.recordCompleted(o.id);
       held_.erase(it);
     } else if (o.result == AttemptResult::throttled || o.result == AttemptResult::connect_failed ||
                o.result == AttemptResult::not_sent) {
-      journal_.neverRan(o.id, static_cast<std::size_t>(o.attempt));
+      journal_.recordNeverRan(o.id, static_cast<std::size_t>(o.attempt));
     }
   }
   add(std::move(o));
 }
 
 // Written with the next turn: until then a restart would tell it once more, which does no harm.
-void DecisionDriver::told(const std::string& id) {
-  journal_.over(id);
+void DecisionDriver::onNoticeAcknowledged(const std::string& id) {
+  journal_.recordCompleted(id);
 }
 
-void DecisionDriver::stopAt(Micros at) {
+void DecisionDriver::scheduleShutdown(Micros at) {
   add(ShutdownScheduled{at});
 }
 
@@ -219,14 +220,14 @@
 void DecisionDriver::carryOut(const std::vector<Action>& actions) {
   for (const Action& a : actions) {
     if (const auto* r = std::get_if<Reject>(&a))
-      end(r->id, true, r->pause);
+      end(r->id, true, r->retry_after);
     if (const auto* f = std::get_if<Fail>(&a))
       end(f->id, false, 0);
     if (const auto* h = std::get_if<HealthRecord>(&a))
-      journal_.ailing(*h);
+      journal_.recordHealth(*h);
   }
   for (const std::string& id : fresh_)
-    journal_.accepted(held_.at(id).message);
+    journal_.recordAccepted(held_.at(id).message);
   std::vector<std::pair<const SendAttempt*, int>> sends;
   for (const Action& a : actions) {
     const auto* s = std::get_if<SendAttempt>(&a);
@@ -235,7 +236,7 @@
     auto it = held_.find(s->id);
     if (it == held_.end())
       continue;
-    journal_.attempted(s->id, {s->endpoint, monotonicNow(), false});
+    journal_.recordAttempt(s->id, {s->endpoint, monotonicNow(), false});
     sends.emplace_back(s, static_cast<int>(it->second.attempts.size()));
     it->second.attempts.push_back(s->endpoint);
   }
@@ -247,11 +248,11 @@
     const ClientServer::Reply reply = std::move(h.reply);
     h.reply = nullptr;
     if (!kept) {  // nothing is taken on that a restart would forget
-      journal_.over(id);
+      journal_.recordCompleted(id);
       held_.erase(id);
       add(Abandoned{id});
     }
-    reply(kept ? "+OK" : busy(settings_.max_pause));
+    reply(kept ? "+OK" : busy(settings_.max_retry_after));
   }
   fresh_.clear();
   std::size_t next = 0;
@@ -263,22 +264,22 @@
       auto it = held_.find(s->id);
       if (kept) {
         const AcceptedMessage& m = it->second.message;
-        endpoints_.call(m, attempt, s->endpoint,
-                        std::min(Deadline::after(monotonicNow(), s->timeout), m.give_up_at));
+        endpoints_.startCall(m, attempt, s->endpoint,
+                             std::min(Deadline::after(monotonicNow(), s->timeout), m.deadline));
         continue;
       }
       AttemptOutcome o;
       o.id = s->id;
       o.attempt = attempt;
       o.result = AttemptResult::not_sent;
-      outcome(std::move(o));
+      onOutcome(std::move(o));
     } else if (const auto* c = std::get_if<CancelAttempt>(&a)) {
       if (!endpoints_.cancel(c->id, c->attempt))
         cancel_elsewhere_({c->id, c->attempt});
     } else if (const auto* i = std::get_if<CloseIdleConnections>(&a)) {
       endpoints_.closeIdle(i->endpoint);
     } else if (const auto* w = std::get_if<SetTimer>(&a)) {
-      wakes_.insert(last_turn_ + w->span);
+      wakes_.insert(last_turn_ + w->delay);
     }
   }
   wake();
@@ -296,9 +297,9 @@
     return reply(handed_back ? busy(pause) : "-ERR given up");
   }
   const CompletionNotice n{handed_back, (pause + 999) / 1000};
-  journal_.noticeOwed(id, n);
+  journal_.recordNoticePending(id, n);
   held_.erase(it);
-  notices_.owe(id, n);
+  notices_.enqueue(id, n);
 }
 
 void DecisionDriver::wake() {
--- a/src/process/decision_driver.h
+++ b/src/process/decision_driver.h
@@ -28,14 +28,14 @@
   // `waits_hold`: waits told before do; a restart ends them. Outcomes that are handed in at once after this
   // are heard in the same turn.
   void recover(const json& known, const std::set<CallId>& out, Micros began, bool waits_hold);
-  void retire();  // decides what is pending and writes it down; from then on another host decides
-  std::int64_t list(const json& answer);  // discovery's answer; gives the version to go on from
-  std::int64_t version() const { return list_.index(); }
-  void put(AcceptedMessage message, ClientServer::Reply reply);
-  void outcome(AttemptOutcome o);
-  void told(const std::string& id);  // a notice was answered
-  void stopAt(Micros at);            // the process ends then, on the monotonic clock
-  bool knowsList() const { return !destinations_.empty(); }
+  void stepDown();  // decides what is pending and writes it down; from then on another host decides
+  std::int64_t onEndpointList(const json& answer);  // discovery's answer; gives the version to go on from
+  std::int64_t endpointListIndex() const { return list_.index(); }
+  void submit(AcceptedMessage message, ClientServer::Reply reply);
+  void onOutcome(AttemptOutcome o);
+  void onNoticeAcknowledged(const std::string& id);  // a notice was answered
+  void scheduleShutdown(Micros at);                  // the process ends then, on the monotonic clock
+  bool hasEndpointList() const { return !destinations_.empty(); }
   bool idle() const { return events_.empty() && held_.empty(); }
 
  private:
--- a/src/process/handover.cpp
+++ b/src/process/handover.cpp
@@ -66,7 +66,7 @@
   ::close(fd_);
 }
 
-bool OwnershipLock::take() {
+bool OwnershipLock::tryAcquire() {
   struct flock f = wholeFile(F_WRLCK);
   return ::fcntl(fd_, F_SETLK, &f) == 0;
 }
--- a/src/process/handover.h
+++ b/src/process/handover.h
@@ -22,7 +22,7 @@
   OwnershipLock(const OwnershipLock&) = delete;
   OwnershipLock& operator=(const OwnershipLock&) = delete;
 
-  bool take();  // false: another process has it
+  bool tryAcquire();  // false: another process has it
   void release();
   pid_t holder() const;  // another process that has it; 0: none, or none that can be seen from here
 
--- a/src/process/sender_process.cpp
+++ b/src/process/sender_process.cpp
@@ -34,11 +34,11 @@
          {"attempt", o.attempt},
          {"result", static_cast<int>(o.result)},
          {"finished", o.finished},
-         {"still_out", o.still_out},
-         {"wait", o.wait},
-         {"rtt", o.rtt}};
-  if (o.report)
-    j["report"] = {o.report->left, o.report->limit};
+         {"still_out", o.still_in_flight},
+         {"wait", o.retry_after},
+         {"rtt", o.round_trip_time}};
+  if (o.load_report)
+    j["report"] = {o.load_report->remaining_share, o.load_report->limit_per_second};
   return j;
 }
 
@@ -51,14 +51,14 @@
     bad("not a result");
   o.result = static_cast<AttemptResult>(result);
   o.finished = truth(j, "finished");
-  o.still_out = truth(j, "still_out", false);
-  o.wait = integer(j, "wait");
-  o.rtt = integer(j, "rtt");
+  o.still_in_flight = truth(j, "still_out", false);
+  o.retry_after = integer(j, "wait");
+  o.round_trip_time = integer(j, "rtt");
   if (!absent(j, "report")) {
     const json& r = array(j, "report");
     if (r.size() != 2 || !r[0].is_number() || !r[1].is_number())
       bad("not a report");
-    o.report = LoadReport{r[0].get<double>(), r[1].get<double>()};
+    o.load_report = LoadReport{r[0].get<double>(), r[1].get<double>()};
   }
   return o;
 }
@@ -81,25 +81,26 @@
       : began(monotonicNow()),
         journal(s.config_.state, {s.config_.disk_bytes, s.config_.durable}),
         notices(DiscoveryClient(s.io_, agent, s.config_.discovery),
-                [this](const std::string& id) { host.told(id); }),
+                [this](const std::string& id) { host.onNoticeAcknowledged(id); }),
         host(s.io_, s.config_.settings, s.config_.seed, journal, s.endpoints_, notices,
              [&s](const CallId& call) {
                if (s.older_)
                  s.older_->send({{"cancel", {call.first, call.second}}});
              }),
         watcher(DiscoveryClient(s.io_, agent, s.config_.discovery), s.config_.seed,
-                [this](const json& a) { return host.list(a); }),
-        clients(s.io_, listenForClients(s.io_, s.config_), s.connections_,
-                [this](AcceptedMessage m, ClientServer::Reply r) { host.put(std::move(m), std::move(r)); }),
+                [this](const json& a) { return host.onEndpointList(a); }),
+        clients(
+            s.io_, listenForClients(s.io_, s.config_), s.connections_,
+            [this](AcceptedMessage m, ClientServer::Reply r) { host.submit(std::move(m), std::move(r)); }),
         next(s.io_, s.config_.scratch, [&s](std::shared_ptr<HandoverLink> l) { s.yieldTo(std::move(l)); }) {
     host.recover(s.config_.known, out, began, s.replaces_);
-    watcher.start(host.version());
+    watcher.start(host.endpointListIndex());
   }
 
   void retire() {
     next.close();
     clients.stop();
-    host.retire();
+    host.stepDown();
     watcher.stop();
     notices.stop();
   }
@@ -120,7 +121,7 @@
       lock_(config_.state),
       connections_(budget()),
       endpoints_(
-          io, {config_.settings.dial_timeout, config_.settings.conn_idle}, connections_,
+          io, {config_.settings.connect_timeout, config_.settings.connection_idle_timeout}, connections_,
           [this](AttemptOutcome o) { outcome(std::move(o)); },
           [this](const std::string& endpoint, std::optional<std::int64_t> destination) {
             if (!older_)
@@ -144,11 +145,11 @@
 
 // A process that only ends its calls shares the descriptors with this one.
 Budget SenderProcess::budget() const {
-  return budgetOf({config_.sockets, config_.memory_bytes, config_.settings.slots}, older_ != nullptr);
+  return budgetOf({config_.sockets, config_.memory_bytes, config_.settings.call_slots}, older_ != nullptr);
 }
 
 void SenderProcess::limit(std::int64_t sockets, std::int64_t memory_bytes) {
-  const Budget b = budgetOf({sockets, memory_bytes, config_.settings.slots}, older_ != nullptr);
+  const Budget b = budgetOf({sockets, memory_bytes, config_.settings.call_slots}, older_ != nullptr);
   if (sockets == config_.sockets && memory_bytes == config_.memory_bytes)
     return;
   config_.sockets = sockets;
@@ -160,9 +161,9 @@
 
 void SenderProcess::changeBudget(const Budget& b) {
   connections_.setBudget(b);
-  endpoints_.budgetChanged();
+  endpoints_.applyBudget();
   if (serving_)
-    serving_->clients.budgetChanged();
+    serving_->clients.applyBudget();
 }
 
 // Looks again and again while something is to be waited for that has no event: not while it just serves.
@@ -171,8 +172,8 @@
     return;
   if (serving_ && newer_) {
     const ClientServer& c = serving_->clients;
-    const bool quiet = c.count() == 0 || monotonicNow() - yield_from_ > kYieldWithin;
-    if (quiet && c.unanswered() == 0)
+    const bool quiet = c.connectionCount() == 0 || monotonicNow() - yield_from_ > kYieldWithin;
+    if (quiet && c.unansweredRequests() == 0)
       release();
   } else if (!serving_ && (!newer_ || (!newer_serves_ && monotonicNow() - released_at_ > kTakeBackAfter))) {
     waitForJournal();
@@ -197,17 +198,17 @@
   if (stop_from_ > 0 && since >= kStopAfter)
     return true;
   if (serving_)
-    return stop_from_ > 0 && !newer_ && since > kLateClients && serving_->clients.unanswered() == 0 &&
-           endpoints_.out() == 0 && serving_->notices.owed() == 0 && serving_->host.idle();
+    return stop_from_ > 0 && !newer_ && since > kLateClients && serving_->clients.unansweredRequests() == 0 &&
+           endpoints_.inFlightCount() == 0 && serving_->notices.pending() == 0 && serving_->host.idle();
   if (newer_)
-    return (newer_serves_ || stop_from_ > 0) && endpoints_.out() == 0 && newer_->allSent();
+    return (newer_serves_ || stop_from_ > 0) && endpoints_.inFlightCount() == 0 && newer_->allSent();
   return stop_from_ > 0 || (handed_over_ && monotonicNow() - waiting_from_ > kTakeBackWithin);
 }
 
 void SenderProcess::waitForJournal() {
   const Micros waited = monotonicNow() - waiting_from_;
   const bool owner_hangs = !handed_over_ && waited > kOwnerHangs;
-  if ((!older_ || older_released_ || owner_hangs) && stop_from_ == 0 && lock_.take())
+  if ((!older_ || older_released_ || owner_hangs) && stop_from_ == 0 && lock_.tryAcquire())
     return own();
   if (handed_over_)
     return;
@@ -233,7 +234,7 @@
 // This process owns the journal from here on.
 void SenderProcess::own() {
   std::set<CallId> out = elsewhere_;
-  for (const CallId& c : endpoints_.calls())
+  for (const CallId& c : endpoints_.callsInFlight())
     out.insert(c);
   for (const AttemptOutcome& o : told_)
     out.insert({o.id, o.attempt});
@@ -246,11 +247,11 @@
   serving_ = std::make_unique<ActiveRole>(*this, parseAddress(config_.discovery), out);
   for (auto* heard : {&told_, &early_}) {
     for (AttemptOutcome& o : *heard)
-      serving_->host.outcome(std::move(o));
+      serving_->host.onOutcome(std::move(o));
     heard->clear();
   }
   replaces_ = true;
-  operators_drain_ ? serving_->clients.drain() : serving_->clients.undrain();
+  operators_drain_ ? serving_->clients.startDraining() : serving_->clients.stopDraining();
   if (older_)
     older_->send({{"serving", true}});
   std::cerr << "ready\n";
@@ -258,7 +259,7 @@
 
 void SenderProcess::outcome(AttemptOutcome o) {
   if (serving_)
-    return serving_->host.outcome(std::move(o));
+    return serving_->host.onOutcome(std::move(o));
   if (newer_)
     newer_->send({{"outcome", outcomeToJson(o)}});
   told_.push_back(std::move(o));
@@ -277,8 +278,8 @@
           newer_serves_ = true;
         if (!absent(m, "held")) {
           const std::string endpoint = text(m, "held");
-          absent(m, "destination") ? endpoints_.drained(endpoint)
-                                   : endpoints_.toldWait(endpoint, integer(m, "destination"));
+          absent(m, "destination") ? endpoints_.onEndpointDraining(endpoint)
+                                   : endpoints_.onRetryAfter(endpoint, integer(m, "destination"));
         }
         if (absent(m, "cancel"))
           return;
@@ -287,7 +288,7 @@
       },
       [this] { onNewerEnd(); });
   serving_->clients.pauseAccepting();
-  serving_->clients.drain();
+  serving_->clients.startDraining();
   look();
 }
 
@@ -296,7 +297,7 @@
   retired_.push_back(std::move(serving_));
   endpoints_.closeAllIdle();
   json out = json::array();
-  for (const CallId& c : endpoints_.calls())
+  for (const CallId& c : endpoints_.callsInFlight())
     out.push_back({c.first, c.second});
   std::cerr << "handover: handed over with " << out.size() << " calls out\n";
   newer_->send({{"release", std::move(out)}});
@@ -311,7 +312,7 @@
   waiting_from_ = monotonicNow();
   if (serving_) {
     if (!operators_drain_ && stop_from_ == 0)
-      serving_->clients.undrain();
+      serving_->clients.stopDraining();
     serving_->clients.resumeAccepting();
   }
   look();
@@ -329,10 +330,10 @@
   AttemptOutcome o = outcomeFromJson(field(message, "outcome"));
   if (elsewhere_.count({o.id, o.attempt}) == 0)
     return;
-  if (!o.still_out)
+  if (!o.still_in_flight)
     elsewhere_.erase({o.id, o.attempt});
   if (serving_)
-    return serving_->host.outcome(std::move(o));
+    return serving_->host.onOutcome(std::move(o));
   early_.push_back(std::move(o));
 }
 
@@ -350,7 +351,7 @@
     o.id = c.first;
     o.attempt = c.second;
     o.result = AttemptResult::cancelled;
-    serving_->host.outcome(std::move(o));
+    serving_->host.onOutcome(std::move(o));
   }
 }
 
@@ -365,7 +366,7 @@
     return "waiting for the process before to hand over";
   if (operators_drain_)
     return "draining";
-  return serving_->host.knowsList() ? "" : "no list of endpoints yet";
+  return serving_->host.hasEndpointList() ? "" : "no list of endpoints yet";
 }
 
 std::string SenderProcess::operate(const std::string& call) {
@@ -378,7 +379,7 @@
     return "ERR " + why;
   std::cerr << "operator: " << call << '\n';
   operators_drain_ = call == "DRAIN";
-  operators_drain_ ? serving_->clients.drain() : serving_->clients.undrain();
+  operators_drain_ ? serving_->clients.startDraining() : serving_->clients.stopDraining();
   return operators_drain_ ? "OK draining" : "OK serving";
 }
 
@@ -388,8 +389,8 @@
   std::cerr << "stopping\n";
   stop_from_ = monotonicNow();
   if (serving_) {
-    serving_->clients.drain();
-    serving_->host.stopAt(stop_from_ + kStopAfter);
+    serving_->clients.startDraining();
+    serving_->host.scheduleShutdown(stop_from_ + kStopAfter);
   }
   look();
 }
@@ -399,8 +400,8 @@
   config_.discovery = address;
   if (!serving_)
     return;
-  serving_->watcher.moveTo(peer, address);
-  serving_->notices.moveTo(peer, address);
+  serving_->watcher.changeServer(peer, address);
+  serving_->notices.changeServer(peer, address);
 }
 
 }  // namespace delivery
--- a/src/programs/journal_inspect.cpp
+++ b/src/programs/journal_inspect.cpp
@@ -28,9 +28,9 @@
   }
   std::size_t held = 0, tried = 0, owed = 0;
   for (const auto& [id, e] : r.state.entries) {
-    if (e.ended) {
+    if (e.notice_pending) {
       ++owed;
-      std::cout << "owed " << id << ": " << (e.notice.handed_back ? "handed back" : "given up") << '\n';
+      std::cout << "owed " << id << ": " << (e.notice.returned ? "handed back" : "given up") << '\n';
       continue;
     }
     std::size_t may_have_run = 0;
@@ -40,7 +40,7 @@
     tried += may_have_run > 0;
     std::cout << "held " << id << ": destination " << e.message.destination << ", " << e.attempts.size()
               << " attempts, of which " << may_have_run << " may have run, "
-              << e.message.give_up_at.left(now.monotonic) / 1000 << " ms left\n";
+              << e.message.deadline.remaining(now.monotonic) / 1000 << " ms left\n";
   }
   std::cout << r.scan.records.size() << " records in " << data.size() << " bytes, version " << r.head.version
             << (r.head.durable ? ", durable" : "") << (r.scan.torn ? ", a torn tail" : "") << '\n'
--- a/src/programs/simulator_adapter.cpp
+++ b/src/programs/simulator_adapter.cpp
@@ -170,9 +170,9 @@
       a.tenant = text(f, "Billing");
     a.order_key = text(f, "RouteKey", "");
     a.destination = static_cast<std::int64_t>(number(f, "FarEnd"));
-    a.give_up_at = Deadline(span(f, "GiveUpAtMs"));
-    a.estimate = span(f, "EstimateMs", 0);
-    a.repeat = truth(f, "Retry", false) || truth(f, "Reconnect", false);
+    a.deadline = Deadline(span(f, "GiveUpAtMs"));
+    a.work_estimate = span(f, "EstimateMs", 0);
+    a.is_retry = truth(f, "Retry", false) || truth(f, "Reconnect", false);
     return a;
   }
 
@@ -197,9 +197,9 @@
     o.result = readResult(f);
     o.finished = truth(f, "Finished", false);
     if (o.result == AttemptResult::throttled)
-      o.wait = span(f, "Detail", 0);
-    o.rtt = span(f, "RttMs", 0);
-    o.report = gauge(i, f);
+      o.retry_after = span(f, "Detail", 0);
+    o.round_trip_time = span(f, "RttMs", 0);
+    o.load_report = gauge(i, f);
     return o;
   }
 
@@ -233,7 +233,7 @@
         return {{"StopAttempt", {{"Who", who}, {"OpId", a.id}, {"Attempt", a.attempt}}}};
       }
       json operator()(const Reject& a) const {
-        return {{"Decline", {{"Who", who}, {"OpId", a.id}, {"CoolDownMs", toMs(a.pause)}}}};
+        return {{"Decline", {{"Who", who}, {"OpId", a.id}, {"CoolDownMs", toMs(a.retry_after)}}}};
       }
       json operator()(const Fail& a) const { return {{"FinishError", {{"Who", who}, {"OpId", a.id}}}}; }
       json operator()(const HealthRecord&) const { return nullptr; }  // here nothing outlasts a process
@@ -244,7 +244,7 @@
         return {{"Disconnect", {{"Who", who}, {"Endpoint", a.endpoint}}}};
       }
       json operator()(const SetTimer& a) const {
-        return {{"NotifyMe", {{"Who", who}, {"Label", ++i.label}, {"SpanMs", toMs(a.span)}}}};
+        return {{"NotifyMe", {{"Who", who}, {"Label", ++i.label}, {"SpanMs", toMs(a.delay)}}}};
       }
     };
     return std::visit(Writer{i, who}, action);
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -70,7 +70,7 @@
     if (n < 0 && errno == EINTR)
       continue;
     if (n < 0) {
-      recovered_.found = std::string("read stopped: ") + std::strerror(errno) + "; ";
+      recovered_.summary = std::string("read stopped: ") + std::strerror(errno) + "; ";
       suspect_ = true;
     }
     if (n <= 0)
@@ -83,22 +83,22 @@
   const std::string data = readAll();
   JournalReading r = readJournal(data, now);
   if (suspect_)
-    r.state.doubt();
+    r.state.assumeUnknownAttempts();
   recovered_.damaged = r.damaged() || suspect_;
-  recovered_.found += std::to_string(r.scan.records.size()) + " records in " + std::to_string(data.size()) +
-                      " bytes, " + std::to_string(r.scan.damaged.size()) + " damaged stretches";
+  recovered_.summary += std::to_string(r.scan.records.size()) + " records in " + std::to_string(data.size()) +
+                        " bytes, " + std::to_string(r.scan.damaged.size()) + " damaged stretches";
   if (r.missing > 0)
-    recovered_.found += ", " + std::to_string(r.missing) + " gaps";
+    recovered_.summary += ", " + std::to_string(r.missing) + " gaps";
   if (r.unreadable > 0)
-    recovered_.found += ", " + std::to_string(r.unreadable) + " of an unknown kind";
+    recovered_.summary += ", " + std::to_string(r.unreadable) + " of an unknown kind";
   if (r.contradictory > 0)
-    recovered_.found += ", " + std::to_string(r.contradictory) + " contradictory";
+    recovered_.summary += ", " + std::to_string(r.contradictory) + " contradictory";
   if (r.scan.repeated > 0)
-    recovered_.found += ", " + std::to_string(r.scan.repeated) + " repeated";
+    recovered_.summary += ", " + std::to_string(r.scan.repeated) + " repeated";
   if (r.scan.torn)
-    recovered_.found += ", a torn tail";
+    recovered_.summary += ", a torn tail";
   if (r.power_cut)
-    recovered_.found += ", after a power cut";
+    recovered_.summary += ", after a power cut";
   state_ = std::move(r.state);
   clock_ = r.clock;
   next_number_ = r.next_number;
@@ -120,9 +120,9 @@
     recovered_.entries.push_back(e);
   std::sort(recovered_.entries.begin(), recovered_.entries.end(),
             [](const Entry& a, const Entry& b) { return a.order < b.order; });
-  recovered_.list = state_.list;
-  for (const auto& [key, a] : state_.ailments)
-    recovered_.ailments.push_back(a);
+  recovered_.endpoint_list = state_.endpoint_list;
+  for (const auto& [key, a] : state_.health_records)
+    recovered_.health_records.push_back(a);
 }
 
 // No room to write all anew: what is in doubt is written behind what is there, or it would be forgotten.
@@ -130,10 +130,10 @@
   append(headPayload(head_));
   std::vector<std::pair<std::string, JournaledAttempt>> doubted;
   for (const auto& [id, e] : state_.entries)
-    if (!e.ended && !e.attempts.empty() && e.attempts.back().endpoint.empty())
+    if (!e.notice_pending && !e.attempts.empty() && e.attempts.back().endpoint.empty())
       doubted.emplace_back(id, e.attempts.back());
   for (const auto& [id, a] : doubted)
-    attempted(id, a);
+    recordAttempt(id, a);
   flush();
 }
 
@@ -162,13 +162,14 @@
   }
   files_.close(fd);
   if (!r.scan.damaged.empty())
-    recovered_.found += "; kept in journal.damaged" +
-                        (lost > 0 ? " but for " + std::to_string(lost) + " bytes" : std::string());
+    recovered_.summary += "; kept in journal.damaged" +
+                          (lost > 0 ? " but for " + std::to_string(lost) + " bytes" : std::string());
   disk_ = options_.disk_bytes - std::min(options_.disk_bytes, blocks(size));
 }
 
 std::uint64_t Journal::liveBytes() const {
-  std::uint64_t live = kHeadRecord + kRecordOverhead + state_.list.size() + state_.ailments.size() * 128;
+  std::uint64_t live =
+      kHeadRecord + kRecordOverhead + state_.endpoint_list.size() + state_.health_records.size() * 128;
   for (const auto& [id, e] : state_.entries)
     live += sizeOnDisk(e.message) + kSeeThrough;
   return live;
@@ -194,34 +195,34 @@
   return true;
 }
 
-void Journal::accepted(const AcceptedMessage& m) {
+void Journal::recordAccepted(const AcceptedMessage& m) {
   if (!append(acceptedPayload(m, clock_)))
     return;
   live_ += sizeOnDisk(m) + kSeeThrough;
   to_sync_ = true;
 }
-void Journal::attempted(const std::string& id, const JournaledAttempt& a) {
+void Journal::recordAttempt(const std::string& id, const JournaledAttempt& a) {
   if (append(attemptedPayload(id, a, clock_)))
     to_sync_ = true;
 }
-void Journal::neverRan(const std::string& id, std::size_t attempt) {
+void Journal::recordNeverRan(const std::string& id, std::size_t attempt) {
   append(neverRanPayload(id, attempt));
 }
-void Journal::noticeOwed(const std::string& id, const CompletionNotice& n) {
+void Journal::recordNoticePending(const std::string& id, const CompletionNotice& n) {
   append(owedPayload(id, n));
 }
-void Journal::over(const std::string& id) {
+void Journal::recordCompleted(const std::string& id) {
   const auto it = state_.entries.find(id);
   if (it == state_.entries.end())
     return;
   live_ -= sizeOnDisk(it->second.message) + kSeeThrough;
   append(overPayload(id));
 }
-void Journal::listed(const std::string& list) {
+void Journal::recordEndpointList(const std::string& list) {
   append(listPayload(list));
   live_ = liveBytes();
 }
-void Journal::ailing(const HealthRecord& a) {
+void Journal::recordHealth(const HealthRecord& a) {
   append(ailingPayload(a, clock_));
   live_ = liveBytes();
 }
@@ -280,9 +281,9 @@
   std::string data;
   const auto add = [&](const std::string& payload) { data += framed(number++, payload); };
   add(headPayload(head_));
-  if (!state_.list.empty())
-    add(listPayload(state_.list));
-  for (const auto& [key, a] : state_.ailments)
+  if (!state_.endpoint_list.empty())
+    add(listPayload(state_.endpoint_list));
+  for (const auto& [key, a] : state_.health_records)
     add(ailingPayload(a, clock_));
   for (const Entry* e : order) {
     add(acceptedPayload(e->message, clock_));
@@ -291,7 +292,7 @@
       if (e->attempts[i].never_ran)
         add(neverRanPayload(e->message.id, i));
     }
-    if (e->ended)
+    if (e->notice_pending)
       add(owedPayload(e->message.id, e->notice));
   }
   if (blocks(size_) + blocks(data.size()) > disk_)
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -21,9 +21,9 @@
   };
   struct Recovered {
     std::vector<Entry> entries;  // in the order in which they were taken on
-    std::string list;            // discovery's last list, empty if none
-    std::vector<HealthRecord> ailments;
-    std::string found;  // one line for the log
+    std::string endpoint_list;   // discovery's last list, empty if none
+    std::vector<HealthRecord> health_records;
+    std::string summary;  // one line for the log
     bool damaged = false;
   };
 
@@ -35,7 +35,7 @@
   Journal& operator=(const Journal&) = delete;
 
   const Recovered& recovered() const { return recovered_; }
-  void forgetRecovered() { recovered_ = {}; }
+  void releaseRecovered() { recovered_ = {}; }
 
   // Keeps room to take this on and to see it through, old and new file together. It holds until the next
   // flush, by when the message is either taken on or refused. False: there is none.
@@ -43,13 +43,13 @@
 
   // Each of these appends to a buffer; flush() writes it. False: what it promises must not be done; the
   // buffer waits for the next flush.
-  void accepted(const AcceptedMessage& m);
-  void attempted(const std::string& id, const JournaledAttempt& a);
-  void neverRan(const std::string& id, std::size_t attempt);
-  void noticeOwed(const std::string& id, const CompletionNotice& n);
-  void over(const std::string& id);  // delivered, withdrawn, or its notice was answered
-  void listed(const std::string& list);
-  void ailing(const HealthRecord& a);
+  void recordAccepted(const AcceptedMessage& m);
+  void recordAttempt(const std::string& id, const JournaledAttempt& a);
+  void recordNeverRan(const std::string& id, std::size_t attempt);
+  void recordNoticePending(const std::string& id, const CompletionNotice& n);
+  void recordCompleted(const std::string& id);  // delivered, withdrawn, or its notice was answered
+  void recordEndpointList(const std::string& list);
+  void recordHealth(const HealthRecord& a);
   bool flush();
   void close();  // flushes; from then on another process may own the files
 
--- a/src/storage/journal_format.cpp
+++ b/src/storage/journal_format.cpp
@@ -107,8 +107,8 @@
   JournalHead h;
   h.version = r.number();
   h.durable = r.truth();
-  h.clock = r.number();
-  h.at = r.number();
+  h.clock_shift = r.number();
+  h.written_at = r.number();
   h.boot = r.text();
   return h;
 }
@@ -123,7 +123,13 @@
 }  // namespace
 
 std::string headPayload(const JournalHead& h) {
-  return Writer(kVersion).number(h.version).small(h.durable).number(h.clock).number(h.at).text(h.boot).out();
+  return Writer(kVersion)
+      .number(h.version)
+      .small(h.durable)
+      .number(h.clock_shift)
+      .number(h.written_at)
+      .text(h.boot)
+      .out();
 }
 std::string acceptedPayload(const AcceptedMessage& m, const DiskClock& clock) {
   return Writer(kAccepted)
@@ -133,20 +139,20 @@
       .text(m.idempotency_key)
       .text(m.body)
       .number(m.destination)
-      .number(clock.toDisk(m.give_up_at))
-      .small(m.repeat)
+      .number(clock.toDisk(m.deadline))
+      .small(m.is_retry)
       .text(m.tenant)
-      .number(m.span)
+      .number(m.time_to_live)
       .out();
 }
 std::string attemptedPayload(const std::string& id, const JournaledAttempt& a, const DiskClock& clock) {
-  return Writer(kAttempted).text(id).text(a.endpoint).number(clock.toDisk(a.sent)).out();
+  return Writer(kAttempted).text(id).text(a.endpoint).number(clock.toDisk(a.sent_at)).out();
 }
 std::string neverRanPayload(const std::string& id, std::size_t attempt) {
   return Writer(kNeverRan).text(id).small(attempt).out();
 }
 std::string owedPayload(const std::string& id, const CompletionNotice& n) {
-  return Writer(kOwed).text(id).small(n.handed_back).number(n.retry_in_ms).out();
+  return Writer(kOwed).text(id).small(n.returned).number(n.retry_after_ms).out();
 }
 std::string overPayload(const std::string& id) {
   return Writer(kOver).text(id).out();
@@ -159,8 +165,8 @@
       .text(a.endpoint)
       .number(a.destination)
       .small(a.down)
-      .number(clock.toDisk(a.cold_since))
-      .number(clock.toDisk(a.wait_until))
+      .number(clock.toDisk(a.warming_since))
+      .number(clock.toDisk(a.retry_after_until))
       .out();
 }
 
@@ -268,7 +274,7 @@
   }
   const std::string id = r.text();
   if (type == kList) {
-    list = id;
+    endpoint_list = id;
     return Applied::yes;
   }
   if (type == kAiling) {
@@ -276,9 +282,9 @@
     a.endpoint = id;
     a.destination = r.number();
     a.down = r.truth();
-    a.cold_since = clock.fromDisk(r.number());
-    a.wait_until = clock.fromDisk(r.more() ? r.number() : 0);  // before waits were kept there was none
-    ailments[{a.destination, a.endpoint}] = a;
+    a.warming_since = clock.fromDisk(r.number());
+    a.retry_after_until = clock.fromDisk(r.more() ? r.number() : 0);  // before waits were kept there was none
+    health_records[{a.destination, a.endpoint}] = a;
     return Applied::yes;
   }
   const auto it = entries.find(id);
@@ -291,12 +297,12 @@
     e.message.idempotency_key = r.text();
     e.message.body = r.text();
     e.message.destination = r.number();
-    e.message.give_up_at = clock.deadlineFromDisk(r.number());
-    e.message.repeat = r.truth();
+    e.message.deadline = clock.deadlineFromDisk(r.number());
+    e.message.is_retry = r.truth();
     if (r.more())
       e.message.tenant = r.text();  // a journal from before tenants were kept has none
     if (r.more())
-      e.message.span = r.number();
+      e.message.time_to_live = r.number();
     if (open)
       return Applied::contradicts;  // its attempts are not forgotten
     e.order = ++next_order_;
@@ -306,8 +312,8 @@
   if (type == kAttempted) {
     JournaledAttempt a;
     a.endpoint = r.text();
-    a.sent = clock.fromDisk(r.number());
-    if (!open || it->second.ended)
+    a.sent_at = clock.fromDisk(r.number());
+    if (!open || it->second.notice_pending)
       return Applied::contradicts;
     it->second.attempts.push_back(std::move(a));
   } else if (type == kNeverRan) {
@@ -317,11 +323,11 @@
     it->second.attempts[n].never_ran = true;
   } else if (type == kOwed) {
     CompletionNotice n;
-    n.handed_back = r.truth();
-    n.retry_in_ms = r.number();
-    if (!open || it->second.ended)
+    n.returned = r.truth();
+    n.retry_after_ms = r.number();
+    if (!open || it->second.notice_pending)
       return Applied::contradicts;
-    it->second.ended = true;
+    it->second.notice_pending = true;
     it->second.notice = n;
   } else if (type == kOver) {
     if (!open)
@@ -335,11 +341,11 @@
   return Applied::unreadable;
 }
 
-void JournalState::doubt() {
+void JournalState::assumeUnknownAttempts() {
   constexpr Micros kLongAgo = INT64_MIN / 4;
   for (auto& [id, e] : entries)
-    if (!e.ended)
-      e.attempts.push_back({"", e.attempts.empty() ? kLongAgo : e.attempts.back().sent, false});
+    if (!e.notice_pending)
+      e.attempts.push_back({"", e.attempts.empty() ? kLongAgo : e.attempts.back().sent_at, false});
 }
 
 JournalReading readJournal(const std::string& data, const Clocks& now) {
@@ -358,17 +364,17 @@
     }  // counted below
   }
   // The clock goes on if the boot is the same, and it has not gone back: then it would be another one.
-  newest = std::max(newest, r.head.at);
+  newest = std::max(newest, r.head.written_at);
   r.same_clock = r.head.version > 0 && r.head.boot == now.boot &&
-                 DiskClock(r.head.clock).toDisk(now.monotonic) >= newest;
-  r.clock = r.same_clock ? DiskClock(r.head.clock) : DiskClock::of(now);
+                 DiskClock(r.head.clock_shift).toDisk(now.monotonic) >= newest;
+  r.clock = r.same_clock ? DiskClock(r.head.clock_shift) : DiskClock::of(now);
   const bool old = !r.scan.records.empty() && r.scan.records.back().version == 1;  // knows no boot
   r.power_cut = !r.scan.records.empty() && !old && r.head.boot != now.boot && !r.head.durable;
   std::uint64_t last = r.scan.records.empty() ? 0 : r.scan.records.front().number - 1;
   for (const auto& record : r.scan.records) {
     if (record.number != last + 1) {
       ++r.missing;
-      r.state.doubt();
+      r.state.assumeUnknownAttempts();
     }
     last = record.number;
     switch (r.state.apply(record.payload, record.version, r.clock)) {
@@ -379,16 +385,17 @@
         break;
       case JournalState::Applied::unreadable:
         ++r.unreadable;
-        r.state.doubt();
+        r.state.assumeUnknownAttempts();
         break;
     }
   }
   if (r.scan.damaged_tail || r.power_cut)
-    r.state.doubt();
+    r.state.assumeUnknownAttempts();
   if (!r.same_clock)
     for (auto& [id, e] : r.state.entries)
-      if (e.message.span > 0)
-        e.message.give_up_at = std::min(e.message.give_up_at, Deadline::after(now.monotonic, e.message.span));
+      if (e.message.time_to_live > 0)
+        e.message.deadline =
+            std::min(e.message.deadline, Deadline::after(now.monotonic, e.message.time_to_live));
   r.next_number = last + 1;
   return r;
 }
--- a/src/storage/journal_format.h
+++ b/src/storage/journal_format.h
@@ -17,26 +17,26 @@
 struct AcceptedMessage {  // what a client handed in, as it goes on to the endpoint
   std::string id, message_class, tenant, order_key, idempotency_key, body;
   std::int64_t destination = 0;
-  Deadline give_up_at;
-  Micros span = 0;  // how long it had in all
-  bool repeat = false;
+  Deadline deadline;
+  Micros time_to_live = 0;  // how long it had in all
+  bool is_retry = false;
 };
 
 struct JournaledAttempt {
   std::string endpoint;
-  Micros sent = 0;  // on the monotonic clock
+  Micros sent_at = 0;  // on the monotonic clock
   bool never_ran = false;
 };
 
 struct CompletionNotice {
-  bool handed_back = false;  // else given up
-  std::int64_t retry_in_ms = 0;
+  bool returned = false;  // else given up
+  std::int64_t retry_after_ms = 0;
 };
 
 struct JournalEntry {
   AcceptedMessage message;
   std::vector<JournaledAttempt> attempts;
-  bool ended = false;  // its notice is owed
+  bool notice_pending = false;  // its notice is owed
   CompletionNotice notice;
   std::uint64_t order = 0;
 };
@@ -45,8 +45,8 @@
 struct JournalHead {
   std::int64_t version = 0;
   bool durable = false;
-  Micros clock = 0;  // the shift of its times
-  Micros at = 0;     // when it was written, on disk's clock
+  Micros clock_shift = 0;  // the shift of its times
+  Micros written_at = 0;   // when it was written, on disk's clock
   std::string boot;
 };
 
@@ -89,11 +89,11 @@
   Applied apply(std::string_view payload, std::int64_t version, const DiskClock& clock);
   // Each open message may have had an attempt that is not known, sent last or long ago. Guards against a
   // second effect. Harm: unsafe ones among them are given up though they may never have been sent.
-  void doubt();
+  void assumeUnknownAttempts();
 
   std::map<std::string, JournalEntry> entries;
-  std::string list;                                                       // discovery's last, empty if none
-  std::map<std::pair<std::int64_t, std::string>, HealthRecord> ailments;  // the latest of each
+  std::string endpoint_list;  // discovery's last, empty if none
+  std::map<std::pair<std::int64_t, std::string>, HealthRecord> health_records;  // the latest of each
 
  private:
   std::uint64_t next_order_ = 0;
--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -10,9 +10,9 @@
 
 TEST(Admission, NearMaxOpenTheLeastWorthIsRefused) {
   Settings s = makeSettings();
-  s.slots = 1;
-  s.max_open = 10;
-  s.classes[1].worth = 4;
+  s.call_slots = 1;
+  s.max_messages = 10;
+  s.classes[1].priority_weight = 4;
   Rig r(s);
   r.list({makeEndpoint("e1", 1)});
   for (int i = 0; i < 4; ++i)
@@ -34,7 +34,7 @@
   r.at(kS);
   for (const Micros left : {-5 * kS, Micros{0}, 3 * kMs}) {
     Arrival a = r.arrival("m" + std::to_string(left), "safe", 1);
-    a.give_up_at = Deadline::after(r.now, left);
+    a.deadline = Deadline::after(r.now, left);
     EXPECT_TRUE(r.run({a}).empty());
     EXPECT_EQ(r.got<Fail>().size() + r.got<Reject>().size(), 1u) << left;
   }
@@ -43,21 +43,21 @@
 // A told wait that outlasts a message: its client hears so at once, and when it is over; others are held.
 TEST(Admission, AMessageThatAToldWaitOutlastsIsAnsweredAtOnce) {
   Settings s = makeSettings();
-  s.slots = 1;
-  s.told_pause = true;
-  s.max_pause = 30 * kS;
+  s.call_slots = 1;
+  s.retry_after_supported = true;
+  s.max_retry_after = 30 * kS;
   Rig r(s);
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
   Arrival brief = r.arrival("brief", "safe", 1), lasting = r.arrival("lasting", "safe", 1);
   Arrival elsewhere = r.arrival("elsewhere", "safe", 2);
-  brief.give_up_at = elsewhere.give_up_at = Deadline::after(r.now, 5 * kS);
-  lasting.give_up_at = Deadline::after(r.now, 20 * kS);
+  brief.deadline = elsewhere.deadline = Deadline::after(r.now, 5 * kS);
+  lasting.deadline = Deadline::after(r.now, 20 * kS);
   r.arrive("first", "safe", 1);
   EXPECT_TRUE(r.run({brief, lasting, elsewhere}).empty());
   r.at(kS).end("first", 0, AttemptResult::throttled, 100 * kMs, 8 * kS);
   ASSERT_EQ(r.got<Reject>().size(), 1u);
   EXPECT_EQ(r.got<Reject>()[0].id, "brief");
-  EXPECT_GE(r.got<Reject>()[0].pause, 8 * kS);
+  EXPECT_GE(r.got<Reject>()[0].retry_after, 8 * kS);
   EXPECT_TRUE(r.got<Fail>().empty());
   brief.id = "behind";  // one that comes meanwhile, too
   r.run({brief});
@@ -67,7 +67,7 @@
 
 TEST(Admission, AWithdrawnMessageIsNeitherSentNorAnsweredAndItsLateOutcomeDoesNoHarm) {
   Settings s = makeSettings();
-  s.slots = 1;
+  s.call_slots = 1;
   Rig r(s);
   r.list({makeEndpoint("e1", 1)});
   r.run({r.arrival("a", "safe", 1), r.arrival("b", "safe", 1), r.arrival("c", "safe", 1)});
@@ -87,9 +87,9 @@
 TEST(Admission, WithAllSlotsBusyLateMessagesAreRefusedDownToAShortQueue) {
   auto refused = [](int senders, bool busy) {
     Settings s = makeSettings();
-    s.senders = senders;
-    s.late = LateDecay::halving;
-    s.slots = 4;
+    s.sender_count = senders;
+    s.late_decay = LateDecay::halving;
+    s.call_slots = 4;
     Rig r(s);
     std::vector<EndpointInfo> all;
     for (int d = 0; d < 50; ++d)
@@ -117,9 +117,9 @@
 // that its client was promised, however much less that one would lose; one of far more worth takes its place.
 TEST(Admission, WhatWasTakenOnIsKeptBeforeWhatIsStillAtTheDoor) {
   Settings s = makeSettings();
-  s.slots = 1;
-  s.max_open = 10;
-  s.classes[1].worth = 4;
+  s.call_slots = 1;
+  s.max_messages = 10;
+  s.classes[1].priority_weight = 4;
   Rig r(s);
   r.list({makeEndpoint("e1", 1)});
   for (int i = 0; i < 9; ++i)
@@ -140,9 +140,9 @@
 // taken on until most of its time is over.
 TEST(Admission, WithAllSlotsBusyWhatWasTakenOnIsKeptForMostOfItsTime) {
   Settings s = makeSettings();
-  s.senders = 200;
-  s.late = LateDecay::halving;
-  s.slots = 4;
+  s.sender_count = 200;
+  s.late_decay = LateDecay::halving;
+  s.call_slots = 4;
   Rig r(s);
   std::vector<EndpointInfo> all;
   for (int d = 0; d < 50; ++d)
--- a/tests/decision/attempts_test.cpp
+++ b/tests/decision/attempts_test.cpp
@@ -30,7 +30,7 @@
 
 TEST(Attempts, MessagesThatMayShareACallUseOneSlot) {
   Settings s = makeSettings();
-  s.slots = 1;
+  s.call_slots = 1;
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "batch")});  // three messages a call
   std::vector<Event> all;
@@ -61,7 +61,7 @@
 TEST(Attempts, AmongManySendersAConnectionWithoutAUseToExpectIsClosed) {
   auto closed = [](int senders, Micros gap) {
     Settings s = makeSettings();
-    s.senders = senders;
+    s.sender_count = senders;
     Rig r(s);
     r.list({makeEndpoint("e1", 1)});
     std::size_t n = 0;
@@ -81,7 +81,7 @@
 // rough-2 of budapest-kozpont-later: further tries of many took the place of first ones still in time.
 TEST(Attempts, AmongManySendersAFurtherTryComesAnAimLaterAtLeast) {
   Settings s = makeSettings();
-  s.senders = 200;
+  s.sender_count = 200;
   Rig r(s);
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   r.arrive("m", "safe", 1);
@@ -90,7 +90,7 @@
   while (sent.empty() && r.now < 19 * kS)
     sent = r.at(r.now + 50 * kMs).wake();
   EXPECT_EQ(sent, Ids{"m"});
-  EXPECT_GE(r.now, 100 * kMs + s.classes[0].aim);
+  EXPECT_GE(r.now, 100 * kMs + s.classes[0].latency_objective);
 }
 
 // overload of budapest-kozpont-later: endpoints take few connections, and the idle ones of many senders
@@ -98,8 +98,8 @@
 TEST(Attempts, AmongManySendersNoConnectionIsKeptWhereAConnectFailed) {
   auto kept_after_a_failure = [](int senders) {
     Settings s = makeSettings();
-    s.senders = senders;
-    s.conn_idle = 15 * kS;
+    s.sender_count = senders;
+    s.connection_idle_timeout = 15 * kS;
     s.classes[0].deadline = 100 * kS;
     Rig r(s);
     r.list({makeEndpoint("e1", 1)});
@@ -129,7 +129,7 @@
 // are spread.
 TEST(Attempts, FurtherTriesAtADestinationThatIsAwayAreSpread) {
   Settings s = makeSettings();
-  s.senders = 200;
+  s.sender_count = 200;
   std::set<Micros> back;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Rig r(s, seed);
--- a/tests/decision/bound_test.cpp
+++ b/tests/decision/bound_test.cpp
@@ -26,9 +26,9 @@
 // its even part of the limit, however much is held.
 TEST(Bound, BudgetOfAReturningDestination) {
   Settings s = makeSettings();
-  s.senders = 2;
-  s.slots = 50;
-  s.weights = WeightKind::nominal;
+  s.sender_count = 2;
+  s.call_slots = 50;
+  s.weight_kind = WeightKind::nominal;
   s.classes[0].deadline = 100 * kS;
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 20)});  // 20 calls a second from all senders
@@ -54,7 +54,7 @@
   ASSERT_GT(sent_at.size(), 20u);
   // Within the first span after the return, and one trial more for chance.
   const auto early =
-      std::count_if(sent_at.begin(), sent_at.end(), [&](Micros t) { return t < back + s.fall_span; });
+      std::count_if(sent_at.begin(), sent_at.end(), [&](Micros t) { return t < back + s.overload_window; });
   EXPECT_LE(early, 1 + 20 * 0.5 * 1.5 * (0.3 + 0.7 * 0.2) * 2);
   EXPECT_GE(early, 4);
 }
@@ -78,8 +78,8 @@
 // A refusal that told no wait cuts this sender's part: the next calls come further apart.
 TEST(Bound, RefusalsCutThisSendersPart) {
   Settings s = makeSettings();
-  s.slots = 50;
-  s.weights = WeightKind::nominal;
+  s.call_slots = 50;
+  s.weight_kind = WeightKind::nominal;
   auto count = [&](bool refused) {
     Rig r(s);
     r.list({makeEndpoint("e1", 1, "shared", 10)});
@@ -97,8 +97,8 @@
 // Answers how many seconds' worth of them wait a few seconds later.
 double backlogAfterRefusals(Micros from, Micros until) {
   Settings s = makeSettings();
-  s.senders = 2;
-  s.slots = 50;
+  s.sender_count = 2;
+  s.call_slots = 50;
   Rig r(s);
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   std::map<std::string, int> tries;
@@ -132,8 +132,8 @@
 // "Floor plus every spare slot" (an objection to the design): a told limit caps due local tags as well.
 TEST(Bound, AToldLimitCapsFloorAndSpareSlots) {
   Settings s = makeSettings();
-  s.slots = 100;
-  s.weights = WeightKind::nominal;
+  s.call_slots = 100;
+  s.weight_kind = WeightKind::nominal;
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 4)});
   std::vector<Event> all;
@@ -149,8 +149,8 @@
 // too.
 TEST(Bound, FirstTriesOfARareSenderArePacedWhileADestinationIsDown) {
   Settings s = makeSettings();
-  s.senders = 200;
-  s.weights = WeightKind::nominal;
+  s.sender_count = 200;
+  s.weight_kind = WeightKind::nominal;
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 10)});
   r.arrive("m1", "safe", 1);
@@ -165,8 +165,8 @@
 // message, so that all passed.
 TEST(Bound, ACallThatPassedThePacingLeavesNoDebt) {
   Settings s = makeSettings();
-  s.senders = 200;
-  s.weights = WeightKind::nominal;
+  s.sender_count = 200;
+  s.weight_kind = WeightKind::nominal;
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 30)});
   r.arrive("m", "safe", 1);
@@ -175,7 +175,7 @@
   r.at(kS + 100 * kMs).end("x", 0, AttemptResult::throttled);
   for (int i = 0; i < 5; ++i) {
     Arrival hasty = r.at(r.now + 10 * kMs).arrival("hasty" + std::to_string(i), "safe", 1);
-    hasty.give_up_at = Deadline::after(r.now, 165 * kMs);
+    hasty.deadline = Deadline::after(r.now, 165 * kMs);
     const Ids sent = r.run({hasty});
     ASSERT_EQ(sent.size(), 1u) << i;
     r.at(r.now + 50 * kMs).end(sent[0], 0, AttemptResult::ok, 50 * kMs);
@@ -192,8 +192,8 @@
 // it.
 TEST(Bound, AFirstTryGoesWhenPacingWouldOutlastTheMessage) {
   Settings s = makeSettings();
-  s.senders = 200;
-  s.weights = WeightKind::nominal;
+  s.sender_count = 200;
+  s.weight_kind = WeightKind::nominal;
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 10)});
   r.arrive("m", "safe", 1);
@@ -202,14 +202,14 @@
   r.at(kS + 100 * kMs).end("x", 0, AttemptResult::throttled);  // no wait told: the next calls are paced
   r.at(kS + 110 * kMs);
   Arrival patient = r.arrival("patient", "safe", 1), hasty = r.arrival("hasty", "safe", 1);
-  hasty.give_up_at = Deadline::after(r.now, 250 * kMs);
+  hasty.deadline = Deadline::after(r.now, 250 * kMs);
   EXPECT_EQ(r.run({patient, hasty}), Ids{"hasty"});
 }
 
 // gyor-nyugat-later big-1: told waits of a shut destination end for all at one moment, and it fell over.
 TEST(Bound, SendersThatWereToldALongWaitComeBackSpread) {
   Settings s = makeSettings();
-  s.senders = 200;
+  s.sender_count = 200;
   std::vector<Micros> back;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Rig r(s, seed);
@@ -223,15 +223,15 @@
     back.push_back(r.now);
   }
   std::sort(back.begin(), back.end());
-  EXPECT_GT(back[15] - back[4], s.fall_span / 2);
+  EXPECT_GT(back[15] - back[4], s.overload_window / 2);
 }
 
 // hf6a5a4: many senders each tried a hanging destination three times before they called it an outage;
 // together the further tries pushed it over when it came back. One of many paces after its first failure.
 TEST(Bound, AmongManySendersOneFailurePacesFurtherTries) {
   Settings s = makeSettings();
-  s.senders = 200;
-  s.weights = WeightKind::nominal;
+  s.sender_count = 200;
+  s.weight_kind = WeightKind::nominal;
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 10)});
   r.arrive("m", "safe", 1);
@@ -247,7 +247,7 @@
 // over when it came back. The first trial is spread as well.
 TEST(Bound, AmongManySendersTheFirstTrialIsSpread) {
   Settings s = makeSettings();
-  s.senders = 200;
+  s.sender_count = 200;
   int at_once = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Rig r(s, seed);
--- a/tests/decision/health_test.cpp
+++ b/tests/decision/health_test.cpp
@@ -11,7 +11,7 @@
 // the next, on a fresh one, answered. After a few such signs idle connections are closed before a call.
 TEST(Health, IdleConnectionsThatDieUnseenAreClosedBeforeTheNextCall) {
   Settings s = makeSettings();
-  s.conn_idle = 60 * kS;
+  s.connection_idle_timeout = 60 * kS;
   Rig r(s);
   std::vector<EndpointInfo> all;
   for (int d = 1; d <= 6; ++d)
@@ -49,7 +49,7 @@
 // idled as long, or longer, show that idling does not kill them.
 TEST(Health, LostCallsAreNoSignOfDeadConnectionsWhereOthersThatIdledLongerAnswer) {
   Settings s = makeSettings();
-  s.conn_idle = 60 * kS;
+  s.connection_idle_timeout = 60 * kS;
   Rig r(s);
   std::vector<EndpointInfo> all;
   for (int d = 1; d <= 6; ++d)
@@ -86,8 +86,8 @@
 // lost on one endpoint's reused connection and the next answered on another's fresh one is a sign as well.
 TEST(Health, SignsOfDeadIdleConnectionsMeetByDestination) {
   Settings s = makeSettings();
-  s.senders = 200;
-  s.conn_idle = 60 * kS;
+  s.sender_count = 200;
+  s.connection_idle_timeout = 60 * kS;
   s.max_attempts = 3;
   Rig r(s);
   std::vector<EndpointInfo> all;
@@ -126,7 +126,7 @@
 // slots.
 TEST(Health, OverdueCallsBeyondTheLaneAreCalledOffWhenNoSlotIsLeft) {
   Settings s = makeSettings();
-  s.slots = 4;
+  s.call_slots = 4;
   s.may_cancel = true;
   Rig r(s);
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2), makeEndpoint("e3", 3)});
@@ -153,8 +153,8 @@
 // outage, whose trials are paced.
 TEST(Health, SeveralOverdueCallsAreAnOutageBeforeAnyTimeOut) {
   Settings s = makeSettings();
-  s.senders = 2;
-  s.slots = 20;
+  s.sender_count = 2;
+  s.call_slots = 20;
   Rig r(s);
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
   for (int i = 0; i < 20; ++i) {
@@ -178,7 +178,7 @@
 // went.
 TEST(Health, OneOverdueCallEachIsEnoughForTheLane) {
   Settings s = makeSettings();
-  s.slots = 4;
+  s.call_slots = 4;
   Rig r(s);
   std::vector<EndpointInfo> all;
   for (int d = 1; d <= 6; ++d)
--- a/tests/decision/membership_test.cpp
+++ b/tests/decision/membership_test.cpp
@@ -22,7 +22,7 @@
 
 TEST(Membership, AFailedSubscriptionIsAskedForAgain) {
   Settings s = makeSettings();
-  s.list = DiscoveryMode::poll;
+  s.discovery_mode = DiscoveryMode::poll;
   Rig r(s);
   r.list({makeEndpoint("e1", 1)});
   EXPECT_EQ(r.got<delivery::SubscribeEndpoints>().size(), 1u);
--- a/tests/decision/property_test.cpp
+++ b/tests/decision/property_test.cpp
@@ -33,8 +33,9 @@
     for (int d = 0; d < 5; ++d)
       for (int i = 0; i < 1 + d % 3; ++i) {
         const std::string id = "e" + std::to_string(d) + std::to_string(i);
-        list_.push_back(makeEndpoint(id, d, set_.kinds[static_cast<std::size_t>(d) % set_.kinds.size()].name,
-                                     1 + below(20), below(2) ? "a" : "b"));
+        list_.push_back(makeEndpoint(
+            id, d, set_.destination_kinds[static_cast<std::size_t>(d) % set_.destination_kinds.size()].name,
+            1 + below(20), below(2) ? "a" : "b"));
       }
     turn({EndpointsChanged{EndpointUpdateKind::cached, list_}});
   }
@@ -110,7 +111,7 @@
     int open = 0;
     for (auto& [id, m] : msgs_)
       open += !m.ended;
-    if (open >= set_.max_open)
+    if (open >= set_.max_messages)
       return;
     const std::string id = "m" + std::to_string(++count_);
     Msg m;
@@ -125,7 +126,7 @@
     a.message_class = m.cls->name;
     a.destination = m.dest;
     a.order_key = m.key;
-    a.give_up_at = Deadline(m.give_up);
+    a.deadline = Deadline(m.give_up);
     a.tenant = "t";
     events.push_back(a);
     msgs_[id] = m;
@@ -140,33 +141,33 @@
         r != AttemptResult::throttled && r != AttemptResult::connect_failed && r != AttemptResult::not_sent;
     if (!m.key.empty() &&
         (r == AttemptResult::timeout || r == AttemptResult::reset || r == AttemptResult::cancelled))
-      quiet_[m.key] = std::max(quiet_[m.key], now_ + set_.order_pause);
+      quiet_[m.key] = std::max(quiet_[m.key], now_ + set_.ordering_pause);
     AttemptOutcome o;
     o.id = id;
     o.attempt = i;
     o.result = r;
-    o.rtt = now_ - t.sent;
+    o.round_trip_time = now_ - t.sent;
     if (r == AttemptResult::ok)
       m.ended = true;
     o.finished = m.ended;
     if (r == AttemptResult::throttled && below(2)) {
-      o.wait = (1 + below(900)) * kMs;
-      const bool apart = kindOf(t.endpoint).routes_apart;
+      o.retry_after = (1 + below(900)) * kMs;
+      const bool apart = kindOf(t.endpoint).independent_routes;
       Micros& w = waits_[apart ? t.endpoint : "d" + std::to_string(m.dest)];
-      w = std::max(w, now_ + o.wait);
+      w = std::max(w, now_ + o.retry_after);
     }
     if (below(2))
-      o.report = LoadReport{0.5, 1.0 + below(30)};
+      o.load_report = LoadReport{0.5, 1.0 + below(30)};
     return o;
   }
 
   const DestinationKind& kindOf(const std::string& endpoint) {
     for (const EndpointInfo& e : list_)
       if (e.id == endpoint)
-        for (const DestinationKind& k : set_.kinds)
+        for (const DestinationKind& k : set_.destination_kinds)
           if (k.name == e.kind)
             return k;
-    return set_.kinds[0];
+    return set_.destination_kinds[0];
   }
 
   void changeList(std::vector<Event>& events) {
@@ -189,7 +190,7 @@
       if (const auto* f = std::get_if<Fail>(&a))
         final(f->id, false);
       if (const auto* w = std::get_if<SetTimer>(&a))
-        wake_ = wake_ > now_ ? std::min(wake_, now_ + w->span) : now_ + w->span;
+        wake_ = wake_ > now_ ? std::min(wake_, now_ + w->delay) : now_ + w->delay;
       if (const auto* c = std::get_if<CancelAttempt>(&a))
         due_[{c->id, c->attempt}] = now_;
     }
@@ -200,10 +201,10 @@
         if (t.out)
           ++calls[{t.endpoint, t.sent}];
     for (auto& [call, n] : calls) {
-      const int per = kindOf(call.first).per_call;
+      const int per = kindOf(call.first).messages_per_call;
       slots += (n + per - 1) / per;
     }
-    EXPECT_LE(slots, set_.slots);
+    EXPECT_LE(slots, set_.call_slots);
     for (auto& [id, m] : msgs_)
       if (!m.ended)
         EXPECT_LE(now_, m.give_up + set_.answer_slack + 4 * kS) << id;  // the host may be away
@@ -218,10 +219,10 @@
     if (!refuse)
       return;
     const bool ran = std::any_of(m.tries.begin(), m.tries.end(), [](const Try& t) { return t.may_have_run; });
-    if (ran && m.cls->effect == Idempotency::non_idempotent)
+    if (ran && m.cls->idempotency == Idempotency::non_idempotent)
       ADD_FAILURE() << "refused what may have run: " << id;
-    if (ran && m.cls->effect == Idempotency::with_key)
-      EXPECT_EQ(m.cls->group, DeduplicationScope::all) << id;
+    if (ran && m.cls->idempotency == Idempotency::with_key)
+      EXPECT_EQ(m.cls->deduplication_scope, DeduplicationScope::all) << id;
   }
 
   void onSend(const SendAttempt& s) {
@@ -239,20 +240,20 @@
     EXPECT_LE(now_ + s.timeout, m.give_up);
     if (off_.count(e->id) && off_[e->id] >= 0)
       EXPECT_LE(now_, off_[e->id] + set_.drain_grace) << e->id;
-    const std::string scope = kindOf(e->id).routes_apart ? e->id : "d" + std::to_string(m.dest);
+    const std::string scope = kindOf(e->id).independent_routes ? e->id : "d" + std::to_string(m.dest);
     if (waits_.count(scope))
       EXPECT_GE(now_, waits_[scope]) << "wait of " << scope;
     for (const Try& t : m.tries) {
       if (t.out)
-        EXPECT_TRUE(set_.may_copy) << s.id;
+        EXPECT_TRUE(set_.may_hedge) << s.id;
       if (!t.may_have_run)
         continue;
-      EXPECT_NE(m.cls->effect, Idempotency::non_idempotent) << "unsafe sent twice: " << s.id;
-      if (m.cls->effect != Idempotency::with_key)
+      EXPECT_NE(m.cls->idempotency, Idempotency::non_idempotent) << "unsafe sent twice: " << s.id;
+      if (m.cls->idempotency != Idempotency::with_key)
         continue;
-      EXPECT_LE(now_, t.sent + m.cls->memory);
+      EXPECT_LE(now_, t.sent + m.cls->deduplication_window);
       for (const EndpointInfo& x : list_)
-        if (x.id == t.endpoint && m.cls->group == DeduplicationScope::zone)
+        if (x.id == t.endpoint && m.cls->deduplication_scope == DeduplicationScope::zone)
           EXPECT_EQ(x.zone, e->zone);
     }
     if (!m.key.empty()) {
@@ -284,21 +285,21 @@
   for (int variant = 0; variant < 12; ++variant) {
     SCOPED_TRACE(variant);
     Settings s = makeSettings();
-    s.slots = 1 + variant % 5 * 3;
-    s.max_open = 20 + variant * 7;
+    s.call_slots = 1 + variant % 5 * 3;
+    s.max_messages = 20 + variant * 7;
     s.max_attempts = 2 + variant % 6;
-    s.may_copy = variant % 3 == 0;
+    s.may_hedge = variant % 3 == 0;
     s.may_cancel = variant % 2 == 0;
-    s.list = variant % 2 ? DiscoveryMode::poll : DiscoveryMode::push;
-    s.weights = variant % 3 == 1 ? WeightKind::nominal : WeightKind::none;
-    s.late = variant % 2 ? LateDecay::halving : LateDecay::linear;
-    s.senders = variant % 4 == 3 ? 200 : 1 + variant % 4;
-    s.order_pause = 300 * kMs;
+    s.discovery_mode = variant % 2 ? DiscoveryMode::poll : DiscoveryMode::push;
+    s.weight_kind = variant % 3 == 1 ? WeightKind::nominal : WeightKind::none;
+    s.late_decay = variant % 2 ? LateDecay::halving : LateDecay::linear;
+    s.sender_count = variant % 4 == 3 ? 200 : 1 + variant % 4;
+    s.ordering_pause = 300 * kMs;
     if (variant % 2)
       s.tenants = {{"t", 2.0, 0.5}};
     s.classes[static_cast<std::size_t>(variant % 3)].ordered = true;
     if (variant % 4 == 1)
-      s.classes[1].group = DeduplicationScope::zone;
+      s.classes[1].deduplication_scope = DeduplicationScope::zone;
     World w(s, static_cast<std::uint64_t>(variant) + 1);
     for (int i = 0; i < 1500; ++i)
       w.step();
--- a/tests/decision/restart_test.cpp
+++ b/tests/decision/restart_test.cpp
@@ -13,7 +13,7 @@
   r.message.id = id;
   r.message.message_class = cls;
   r.message.destination = 1;
-  r.message.give_up_at = Deadline::after(rig.now, 15 * kS);
+  r.message.deadline = Deadline::after(rig.now, 15 * kS);
   r.attempts = std::move(past);
   return r;
 }
@@ -65,7 +65,7 @@
 // A call that the process before still has out holds its slot, is not sent again, and ends like one's own.
 TEST(Restart, CallsStillOutElsewhereAreWaitedFor) {
   Settings set = makeSettings();
-  set.slots = 2;
+  set.call_slots = 2;
   Rig rig(set);
   rig.at(100 * kS).list({makeEndpoint("e", 1)});
   const RecoveredAttempt out{"e", 99 * kS, true, true};
@@ -152,9 +152,9 @@
 // queue far longer than many senders' short one, none is refused for the room, and each goes as a slot comes.
 TEST(Restart, WhatWasNeverTriedIsTriedHoweverFullItIs) {
   Settings s = makeSettings();
-  s.max_open = 8;
-  s.slots = 1;
-  s.senders = 300;
+  s.max_messages = 8;
+  s.call_slots = 1;
+  s.sender_count = 300;
   Rig rig(s);
   rig.at(100 * kS).list({makeEndpoint("e", 1)});
   std::vector<Event> events;
@@ -178,7 +178,7 @@
 // It goes before what has come to other destinations since, too: there a busy sender's slots would go.
 TEST(Restart, WhatWasNeverTriedGoesBeforeOtherDestinations) {
   Settings s = makeSettings();
-  s.slots = 1;
+  s.call_slots = 1;
   Rig rig(s);
   rig.at(100 * kS).list({makeEndpoint("e", 1), makeEndpoint("f", 2)});
   std::vector<Event> events;
@@ -201,13 +201,13 @@
 // meanwhile.
 TEST(Restart, WhatIsHandedOverGoesInTheUsualOrder) {
   Settings s = makeSettings();
-  s.slots = 1;
+  s.call_slots = 1;
   Rig rig(s);
   rig.at(100 * kS).list({makeEndpoint("e", 1), makeEndpoint("f", 2)});
   std::vector<Event> events;
   for (int i = 0; i < 5; ++i) {
     RecoveredMessage r = resumed(rig, "m" + std::to_string(i), "safe", {});
-    r.restarted = false;
+    r.after_restart = false;
     events.push_back(r);
   }
   for (int i = 0; i < 5; ++i)
@@ -224,7 +224,7 @@
 
 TEST(Restart, MoreThanMayBeHeldIsRefusedOnArrival) {
   Settings s = makeSettings();
-  s.max_open = 3;
+  s.max_messages = 3;
   Rig rig(s);
   rig.at(100 * kS).list({});
   int refused = 0;
--- a/tests/decision/tags_test.cpp
+++ b/tests/decision/tags_test.cpp
@@ -12,8 +12,8 @@
 // starts go to c1 and two to c2.
 TEST(Tags, PaperTable3) {
   Settings s = makeSettings();
-  s.slots = 1;
-  s.weights = WeightKind::nominal;
+  s.call_slots = 1;
+  s.weight_kind = WeightKind::nominal;
   s.classes = {makeClass("c1", Idempotency::idempotent, 50 * kMs),
                makeClass("c2", Idempotency::idempotent, 25 * kMs)};
   Rig r(s);
@@ -43,8 +43,8 @@
 
 TEST(Tags, DueLocalTagGoesBeforeSmallerGlobalTag) {
   Settings s = makeSettings();
-  s.slots = 1;
-  s.weights = WeightKind::nominal;
+  s.call_slots = 1;
+  s.weight_kind = WeightKind::nominal;
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 1000), makeEndpoint("e2", 2, "shared", 1)});
   EXPECT_EQ(r.run({r.arrival("x", "safe", 1), r.arrival("a1", "safe", 1), r.arrival("b1", "safe", 2)}),
@@ -64,8 +64,8 @@
 
 TEST(Tags, IdleCreditIsAtMostSigmaStarts) {
   Settings s = makeSettings();
-  s.slots = 1;
-  s.weights = WeightKind::nominal;
+  s.call_slots = 1;
+  s.weight_kind = WeightKind::nominal;
   Rig r(s);
   r.list({makeEndpoint("e1", 1, "shared", 100), makeEndpoint("e2", 2, "shared", 100)});
   r.arrive("old", "safe", 2);
@@ -94,7 +94,7 @@
 // else a newly active destination would starve the backlogged one until its tags had caught up.
 TEST(Tags, ArrivalShiftsGlobalTagsSoThatTheSmallestIsNow) {
   Settings s = makeSettings();
-  s.slots = 1;
+  s.call_slots = 1;
   Rig r(s);
   r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
   std::vector<Event> all;
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -52,16 +52,16 @@
 TEST(ClientsSockets, AMessagesTimeRunsFromWhenItWasSentNotFromWhenItWasRead) {
   Served s(1);
   auto first = std::make_unique<loopback::Client>(s.port);
-  s.turnUntil([&] { return s.clients->count() == 1; });
+  s.turnUntil([&] { return s.clients->connectionCount() == 1; });
   loopback::Client second(s.port);
   s.io.run_one();  // it is seen, and there is no room for it
-  ASSERT_EQ(1u, s.clients->count());
+  ASSERT_EQ(1u, s.clients->connectionCount());
   second.send(kPut);
   const Micros sent = monotonicNow();
   first.reset();
   s.turnUntil([&] { return s.taken.has_value(); });
-  EXPECT_LE(s.taken->give_up_at.at(), sent + 8000 * kMs);
-  EXPECT_GE(s.taken->give_up_at.at(), sent + 8000 * kMs - kClientWaits);
+  EXPECT_LE(s.taken->deadline.at(), sent + 8000 * kMs);
+  EXPECT_GE(s.taken->deadline.at(), sent + 8000 * kMs - kClientWaits);
 }
 
 // A connection's deadline comes while this process is busy, with a whole request in the socket: a test's
@@ -69,7 +69,7 @@
 TEST(ClientsSockets, ARequestThatIsInTheSocketAtTheDeadlineIsServed) {
   Served s(2);
   loopback::Client client(s.port);
-  s.turnUntil([&] { return s.clients->count() == 1; });
+  s.turnUntil([&] { return s.clients->connectionCount() == 1; });
   s.io.poll();
   const Micros deadline = s.rules.nextClientDeadline();
   boost::asio::steady_timer just_before(s.io);
@@ -77,7 +77,7 @@
   just_before.async_wait([&](const boost::system::error_code&) { client.send(kPut); });
   while (monotonicNow() < deadline + 5 * kMs) {
   }  // busy: the loop does not turn
-  s.turnUntil([&] { return s.taken || s.clients->count() == 0; });
+  s.turnUntil([&] { return s.taken || s.clients->connectionCount() == 0; });
   EXPECT_TRUE(s.taken) << "closed with its request unread";
   s.turnUntil([&] { return s.rules.nextClientDeadline() > deadline + 30'000 * kMs; });
   EXPECT_EQ("+OK", client.line());
@@ -87,11 +87,11 @@
 TEST(ClientsSockets, ARequestThatIsInTheSocketAtADrainIsServed) {
   Served s(2);
   loopback::Client client(s.port);
-  s.turnUntil([&] { return s.clients->count() == 1; });
+  s.turnUntil([&] { return s.clients->connectionCount() == 1; });
   s.io.poll();
   client.send(kPut);
-  s.clients->drain();
-  s.turnUntil([&] { return s.clients->count() == 0; });
+  s.clients->startDraining();
+  s.turnUntil([&] { return s.clients->connectionCount() == 0; });
   EXPECT_TRUE(s.taken);
   EXPECT_EQ("+OK", client.line());
   EXPECT_TRUE(client.ended());
@@ -101,7 +101,7 @@
 TEST(ClientsSockets, ARequestThatIsInTheSocketOfWhoWouldMakeRoomIsServed) {
   Served s(1);
   loopback::Client first(s.port);
-  s.turnUntil([&] { return s.clients->count() == 1; });
+  s.turnUntil([&] { return s.clients->connectionCount() == 1; });
   s.io.poll();
   const Micros silent_from = monotonicNow();
   loopback::Client next(s.port);  // seen in the loop's next turn, before what the first sends now
@@ -110,23 +110,23 @@
   first.send(kPut);
   s.turnUntil([&] { return s.taken || s.rules.underPressure(); });
   EXPECT_TRUE(s.taken) << "closed with its request unread";
-  EXPECT_EQ(1u, s.clients->count());
+  EXPECT_EQ(1u, s.clients->connectionCount());
 }
 
 // New limits have fewer places than there are connections, and a request is in the socket of one that rests.
 TEST(ClientsSockets, ARequestThatIsInTheSocketWhenLimitsAreHalvedIsServed) {
   Served s(2);
   loopback::Client rests(s.port), asks(s.port);
-  s.turnUntil([&] { return s.clients->count() == 2; });
+  s.turnUntil([&] { return s.clients->connectionCount() == 2; });
   s.io.poll();
   const Micros silent_from = monotonicNow();
   while (monotonicNow() < silent_from + 50 * kMs) {
   }  // busy: the loop does not turn
   rests.send(kPut);
   s.rules.setBudget(Served::budgetFor(1));
-  s.clients->budgetChanged();
-  s.turnUntil([&] { return s.clients->count() == 1; });
-  s.turnUntil([&] { return s.taken || s.clients->count() == 0; });
+  s.clients->applyBudget();
+  s.turnUntil([&] { return s.clients->connectionCount() == 1; });
+  s.turnUntil([&] { return s.taken || s.clients->connectionCount() == 0; });
   EXPECT_TRUE(s.taken) << "closed with its request unread";
   EXPECT_TRUE(asks.ended());
 }
@@ -135,11 +135,11 @@
 TEST(ClientsSockets, TheSecondOfTwoPipelinedRequestsIsAnsweredInADrain) {
   Served s(2);
   loopback::Client client(s.port);
-  s.turnUntil([&] { return s.clients->count() == 1; });
+  s.turnUntil([&] { return s.clients->connectionCount() == 1; });
   client.send(kPut + kPut);
   s.turnUntil([&] { return s.taken.has_value(); });  // carried out, its answer on the way
-  s.clients->drain();
-  s.turnUntil([&] { return s.clients->count() == 0; });
+  s.clients->startDraining();
+  s.turnUntil([&] { return s.clients->connectionCount() == 0; });
   EXPECT_EQ("+OK", client.line());
   EXPECT_EQ("+OK", client.line());
   EXPECT_TRUE(client.ended());
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -39,7 +39,7 @@
   // Makes a call and waits for its outcome.
   AttemptOutcome call(const std::string& id, Micros timeout = 60'000'000) {
     const std::size_t before = outcomes.size();
-    endpoints.call(message(id), 0, "e", within(timeout));
+    endpoints.startCall(message(id), 0, "e", within(timeout));
     return waitFor(before + 1);
   }
   AttemptOutcome waitFor(std::size_t count) {
@@ -81,13 +81,13 @@
     const std::string bytes = answer("429 Too Many Requests", "Retry-After: 0.5\r\n", "later");
     EXPECT_EQ(static_cast<ssize_t>(bytes.size()), ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL));
   });
-  while (until.left(monotonicNow()) >= -1000) {
+  while (until.remaining(monotonicNow()) >= -1000) {
   }  // busy: the loop does not turn
   while (!got)
     io.run_one_for(std::chrono::milliseconds(100));
-  EXPECT_EQ(Exchanged::answered, got->how);
+  EXPECT_EQ(Exchanged::answered, got->completion);
   EXPECT_EQ(429, got->status);
-  EXPECT_TRUE(got->whole);
+  EXPECT_TRUE(got->body_complete);
   EXPECT_TRUE(connection.reusable());
   ::close(fd);
 }
@@ -108,7 +108,7 @@
   }  // busy: the loop does not turn
   while (!got)
     io.run_one_for(std::chrono::milliseconds(100));
-  EXPECT_EQ(s.seen().empty(), got->how == Exchanged::not_written);
+  EXPECT_EQ(s.seen().empty(), got->completion == Exchanged::not_written);
   EXPECT_EQ(200, got->status);
 }
 
@@ -136,7 +136,7 @@
 AttemptOutcome outcomeOf(const Act& act, Micros timeout = 60'000'000) {
   Server s([&](const Seen&) { return act; });
   Pool p;
-  p.endpoints.address("e", s.address());
+  p.endpoints.setAddress("e", s.address());
   return p.call("m", timeout);
 }
 
@@ -162,7 +162,7 @@
   const AttemptOutcome o = outcomeOf(r.act);
   EXPECT_EQ(r.result, o.result);
   EXPECT_EQ(r.finished, o.finished);
-  EXPECT_EQ(r.wait, o.wait);
+  EXPECT_EQ(r.wait, o.retry_after);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -226,7 +226,7 @@
 TEST(EndpointPool, SilenceEndsInATimeOutAndClosesTheConnection) {
   Server s([](const Seen&) { return Act{}; });
   Pool p;
-  p.endpoints.address("e", s.address());
+  p.endpoints.setAddress("e", s.address());
   const AttemptOutcome o = p.call("m", 200'000);
   EXPECT_EQ(AttemptResult::timeout, o.result);
   EXPECT_FALSE(o.finished);
@@ -235,9 +235,9 @@
 
 TEST(EndpointPool, ARefusedConnectionNeverRan) {
   Pool p;
-  p.endpoints.address("e", loopback::closedAddress());
+  p.endpoints.setAddress("e", loopback::closedAddress());
   EXPECT_EQ(AttemptResult::connect_failed, p.call("m").result);
-  p.endpoints.address("e", "nonsense");
+  p.endpoints.setAddress("e", "nonsense");
   EXPECT_EQ(AttemptResult::connect_failed, p.call("n").result);
 }
 
@@ -245,7 +245,7 @@
 TEST(EndpointPool, ACallCarriesTheMessageUnchanged) {
   Server s([](const Seen&) { return Act{answer("200 OK", "X-Pressure: x0=0.4,x1=25\r\n")}; });
   Pool p;
-  p.endpoints.address("e", s.address());
+  p.endpoints.setAddress("e", s.address());
   const AttemptOutcome o = p.call("9b1f03aa5c7e2d41", 1'500'000);
   ASSERT_EQ(1u, s.seen().size());
   const Seen seen = s.seen()[0];
@@ -256,15 +256,15 @@
   EXPECT_GT(left, 0);
   EXPECT_LE(left, 1500);
   EXPECT_EQ(p.message("").body, seen.body);
-  ASSERT_TRUE(o.report);
-  EXPECT_DOUBLE_EQ(0.4, o.report->left);
-  EXPECT_DOUBLE_EQ(25, o.report->limit);
+  ASSERT_TRUE(o.load_report);
+  EXPECT_DOUBLE_EQ(0.4, o.load_report->remaining_share);
+  EXPECT_DOUBLE_EQ(25, o.load_report->limit_per_second);
 }
 
 TEST(EndpointPool, ConnectionsAreReusedAndClosedOnDemand) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p;
-  p.endpoints.address("e", s.address());
+  p.endpoints.setAddress("e", s.address());
   p.call("a");
   p.call("b");
   EXPECT_EQ(s.seen()[0].connection, s.seen()[1].connection);
@@ -279,7 +279,7 @@
 TEST(EndpointPool, AConnectionClosedByTheEndpointIsNotWrittenTo) {
   Server s([](const Seen&) { return Act{answer("200 OK"), true}; });  // closes, without saying so
   Pool p;
-  p.endpoints.address("e", s.address());
+  p.endpoints.setAddress("e", s.address());
   for (int i = 0; i < 20; ++i) {
     EXPECT_EQ(AttemptResult::ok, p.call("m" + std::to_string(i)).result);
     p.io.restart();
@@ -292,8 +292,8 @@
 TEST(EndpointPool, AConnectionClosedAfterItWasChosenIsNotWrittenTo) {
   loopback::Listener endpoint;
   Pool p;
-  p.endpoints.address("e", endpoint.address());
-  p.endpoints.call(p.message("first"), 0, "e", within(60'000'000));
+  p.endpoints.setAddress("e", endpoint.address());
+  p.endpoints.startCall(p.message("first"), 0, "e", within(60'000'000));
   const int fd = ::accept4(endpoint.fd, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
   char piece[4096];
   while (::recv(fd, piece, sizeof piece, 0) <= 0)
@@ -302,8 +302,8 @@
   EXPECT_EQ(static_cast<ssize_t>(fine.size()), ::send(fd, fine.data(), fine.size(), MSG_NOSIGNAL));
   EXPECT_EQ(AttemptResult::ok, p.waitFor(1).result);
   EXPECT_EQ(1u, p.endpoints.idle());
-  p.endpoints.call(p.message("second"), 0, "e",
-                   within(60'000'000));  // chosen, to be written in the next turn
+  p.endpoints.startCall(p.message("second"), 0, "e",
+                        within(60'000'000));  // chosen, to be written in the next turn
   EXPECT_EQ(0u, p.endpoints.idle());
   ::close(fd);  // on loopback its end is there at once
   ::fcntl(endpoint.fd, F_SETFL, O_NONBLOCK);
@@ -323,7 +323,7 @@
 TEST(EndpointPool, AnIdleConnectionIsClosedBeforeTheEndpointWould) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p(100'000);
-  p.endpoints.address("e", s.address());
+  p.endpoints.setAddress("e", s.address());
   p.call("a");
   EXPECT_EQ(1u, p.endpoints.idle());
   const auto until = std::chrono::steady_clock::now() + loopback::kLong;
@@ -337,8 +337,8 @@
 TEST(EndpointPool, ACallIsCalledOffByClosingAndHasOneOutcome) {
   Server s([](const Seen&) { return Act{}; });
   Pool p;
-  p.endpoints.address("e", s.address());
-  p.endpoints.call(p.message("m"), 3, "e", within(60'000'000));
+  p.endpoints.setAddress("e", s.address());
+  p.endpoints.startCall(p.message("m"), 3, "e", within(60'000'000));
   while (s.seen().empty()) {
     p.io.restart();
     p.io.run_one_for(std::chrono::milliseconds(20));
@@ -348,7 +348,7 @@
   const AttemptOutcome o = p.waitFor(1);
   EXPECT_EQ(AttemptResult::cancelled, o.result);
   EXPECT_EQ(3, o.attempt);
-  EXPECT_EQ(0u, p.endpoints.out());
+  EXPECT_EQ(0u, p.endpoints.inFlightCount());
   p.io.restart();
   p.io.run_for(std::chrono::milliseconds(50));
   EXPECT_EQ(1u, p.outcomes.size());
@@ -359,10 +359,10 @@
 TEST(EndpointPool, ABurstOpensFewConnectionsAtOnce) {
   Stuck stuck;
   Pool p(60'000'000, 300'000);
-  p.endpoints.address("e", stuck.listener.address());
+  p.endpoints.setAddress("e", stuck.listener.address());
   for (int i = 0; i < 8; ++i)
-    p.endpoints.call(p.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
-  EXPECT_EQ(8u, p.endpoints.out());
+    p.endpoints.startCall(p.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
+  EXPECT_EQ(8u, p.endpoints.inFlightCount());
   EXPECT_EQ(2, p.connections.callConnections());
   p.waitFor(8);
   for (const AttemptOutcome& o : p.outcomes)
@@ -374,9 +374,9 @@
 TEST(EndpointPool, ABurstIsDeliveredOnTheConnectionsThatComeFree) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p;
-  p.endpoints.address("e", s.address());
+  p.endpoints.setAddress("e", s.address());
   for (int i = 0; i < 8; ++i)
-    p.endpoints.call(p.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
+    p.endpoints.startCall(p.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
   p.waitFor(8);
   std::set<std::string> ids;
   for (const Seen& seen : s.seen())
@@ -395,18 +395,18 @@
   Stuck stuck;
   for (const bool drain : {false, true}) {
     Pool p;
-    p.endpoints.address("e", stuck.listener.address());
-    p.endpoints.address("told", s.address());
+    p.endpoints.setAddress("e", stuck.listener.address());
+    p.endpoints.setAddress("told", s.address());
     for (int i = 0; i < 3; ++i)  // two are opened, one waits
-      p.endpoints.call(p.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
+      p.endpoints.startCall(p.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
     if (drain)
-      p.endpoints.drained("e");
+      p.endpoints.onEndpointDraining("e");
     else
-      p.endpoints.call(p.message("told"), 0, "told", within(60'000'000));
+      p.endpoints.startCall(p.message("told"), 0, "told", within(60'000'000));
     p.waitFor(drain ? 3 : 4);
     for (const AttemptOutcome& o : p.outcomes)
       EXPECT_EQ(o.id == "told" ? AttemptResult::throttled : AttemptResult::not_sent, o.result) << o.id;
-    EXPECT_EQ(0u, p.endpoints.out());
+    EXPECT_EQ(0u, p.endpoints.inFlightCount());
     EXPECT_EQ(drain ? 0 : 1, p.connections.callConnections());
   }
 }
@@ -419,21 +419,21 @@
     Server s([&](const Seen&) { return Act{head, cut}; });
     Stuck stuck;
     Pool p;
-    p.endpoints.address("e", stuck.listener.address());
-    p.endpoints.address("told", s.address());
-    p.endpoints.call(p.message("m"), 0, "e", within(60'000'000));
-    p.endpoints.call(p.message("told"), 0, "told", within(60'000'000));
+    p.endpoints.setAddress("e", stuck.listener.address());
+    p.endpoints.setAddress("told", s.address());
+    p.endpoints.startCall(p.message("m"), 0, "e", within(60'000'000));
+    p.endpoints.startCall(p.message("told"), 0, "told", within(60'000'000));
     p.waitFor(2);
     std::map<std::string, AttemptOutcome> by;
     for (const AttemptOutcome& o : p.outcomes)
       by[o.id] = o;
     EXPECT_EQ(AttemptResult::not_sent, by["m"].result);
-    EXPECT_TRUE(by["told"].still_out);
-    EXPECT_EQ(9'000'000, by["told"].wait);
+    EXPECT_TRUE(by["told"].still_in_flight);
+    EXPECT_EQ(9'000'000, by["told"].retry_after);
     if (!cut)
       p.endpoints.cancel("told", 0);
     const AttemptOutcome end = p.waitFor(p.outcomes.size() + 1);
-    EXPECT_FALSE(end.still_out);
+    EXPECT_FALSE(end.still_in_flight);
     EXPECT_EQ(AttemptResult::error, end.result);  // what can't be read may have run
   }
 }
@@ -442,28 +442,28 @@
 TEST(EndpointPool, AnAnswerThatCrossesTheCallingOffCounts) {
   Server s([](const Seen&) { return Act{answer("429 Slow", "Retry-After: 9\r\n")}; });
   Pool p;
-  p.endpoints.address("e", s.address());
-  p.endpoints.call(p.message("m"), 0, "e", within(60'000'000));
+  p.endpoints.setAddress("e", s.address());
+  p.endpoints.startCall(p.message("m"), 0, "e", within(60'000'000));
   while (s.seen().empty())
     p.io.run_one_for(std::chrono::milliseconds(1));
   std::this_thread::sleep_for(std::chrono::milliseconds(100));  // time for the answer to arrive: unread
   p.endpoints.cancel("m", 0);
   const AttemptOutcome o = p.waitFor(1);
   EXPECT_EQ(AttemptResult::throttled, o.result);
-  EXPECT_EQ(9'000'000, o.wait);
+  EXPECT_EQ(9'000'000, o.retry_after);
 }
 
 // What was never written can't have run, called off or not.
 TEST(EndpointPool, ACallWithoutAConnectionThatIsCalledOffNeverRan) {
   Stuck stuck;
   Pool p;
-  p.endpoints.address("e", stuck.listener.address());
-  p.endpoints.call(p.message("m"), 0, "e", within(60'000'000));
+  p.endpoints.setAddress("e", stuck.listener.address());
+  p.endpoints.startCall(p.message("m"), 0, "e", within(60'000'000));
   EXPECT_TRUE(p.endpoints.cancel("m", 0));
-  EXPECT_EQ(1u, p.endpoints.out());  // its outcome is still to be told
-  EXPECT_EQ(1u, p.endpoints.calls().size());
+  EXPECT_EQ(1u, p.endpoints.inFlightCount());  // its outcome is still to be told
+  EXPECT_EQ(1u, p.endpoints.callsInFlight().size());
   EXPECT_EQ(AttemptResult::not_sent, p.waitFor(1).result);
-  EXPECT_EQ(0u, p.endpoints.out());
+  EXPECT_EQ(0u, p.endpoints.inFlightCount());
 }
 
 // Where routes are apart, a wait holds for the route that told it, and for no other.
@@ -471,23 +471,23 @@
   Server s([](const Seen&) { return Act{answer("429 Slow", "Retry-After: 9\r\n")}; });
   Stuck other;
   Pool p;
-  p.endpoints.address("other", other.listener.address(), true);
-  p.endpoints.address("told", s.address(), true);
-  p.endpoints.call(p.message("m"), 0, "other", within(60'000'000));
-  p.endpoints.call(p.message("told"), 0, "told", within(60'000'000));
+  p.endpoints.setAddress("other", other.listener.address(), true);
+  p.endpoints.setAddress("told", s.address(), true);
+  p.endpoints.startCall(p.message("m"), 0, "other", within(60'000'000));
+  p.endpoints.startCall(p.message("told"), 0, "told", within(60'000'000));
   p.waitFor(1);
   EXPECT_EQ("told", p.outcomes[0].id);
-  EXPECT_EQ(1u, p.endpoints.out());
+  EXPECT_EQ(1u, p.endpoints.inFlightCount());
 }
 
 // Chosen, with its connection at hand, and not yet written: the drain is heard in between.
 TEST(EndpointPool, WhatIsAboutToBeWrittenHeedsADrain) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p;
-  p.endpoints.address("e", s.address());
+  p.endpoints.setAddress("e", s.address());
   p.call("first");
-  p.endpoints.call(p.message("second"), 0, "e", within(60'000'000));
-  p.endpoints.drained("e");
+  p.endpoints.startCall(p.message("second"), 0, "e", within(60'000'000));
+  p.endpoints.onEndpointDraining("e");
   EXPECT_EQ(AttemptResult::not_sent, p.waitFor(2).result);
   EXPECT_TRUE(loopback::eventually([&] { return s.closedByPeer() == 1; }));
   EXPECT_EQ(1u, s.seen().size());
@@ -497,15 +497,15 @@
 TEST(EndpointPool, WhatIsHalfWrittenHeedsADrainAndNeverRan) {
   loopback::Listener unread;
   Pool p;
-  p.endpoints.address("e", unread.address());
+  p.endpoints.setAddress("e", unread.address());
   AcceptedMessage m = p.message("m");
   m.body.assign(64u << 20, 'x');  // more than a socket's buffers hold
-  p.endpoints.call(m, 0, "e", within(60'000'000));
+  p.endpoints.startCall(m, 0, "e", within(60'000'000));
   const int fd = ::accept4(unread.fd, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
   char piece;
   while (::recv(fd, &piece, 1, MSG_PEEK) <= 0)
     p.io.run_one_for(std::chrono::milliseconds(1));
-  p.endpoints.drained("e");
+  p.endpoints.onEndpointDraining("e");
   EXPECT_EQ(AttemptResult::not_sent, p.waitFor(1).result);
   EXPECT_EQ(0, p.connections.callConnections());
   ::close(fd);
@@ -515,12 +515,12 @@
 TEST(EndpointPool, ConnectingComesOffTheTimeThatIsTold) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p;
-  p.endpoints.address("e", s.address());
+  p.endpoints.setAddress("e", s.address());
   const Deadline until = within(5'000'000);
   std::this_thread::sleep_for(std::chrono::milliseconds(50));
-  p.endpoints.call(p.message("fresh"), 0, "e", until);
+  p.endpoints.startCall(p.message("fresh"), 0, "e", until);
   p.waitFor(1);
-  p.endpoints.call(p.message("reused"), 0, "e", until);
+  p.endpoints.startCall(p.message("reused"), 0, "e", until);
   p.waitFor(2);
   ASSERT_EQ(2u, s.seen().size());
   EXPECT_LE(std::stoi(s.seen()[0].field("X-Remaining-Ms")), 4950);
@@ -531,7 +531,7 @@
 TEST(EndpointPool, ACallWithNoTimeLeftIsNotWritten) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p;
-  p.endpoints.address("e", s.address());
+  p.endpoints.setAddress("e", s.address());
   EXPECT_EQ(AttemptResult::ok, p.call("first").result);
   for (const Micros span : {Micros{-5'000'000}, Micros{0}})
     EXPECT_EQ(AttemptResult::connect_failed, p.call("late" + std::to_string(span), span).result) << span;
@@ -547,16 +547,16 @@
   Budget b = Pool::budget();
   b.idle_calls = 3;
   p.connections.setBudget(b);
-  p.endpoints.address("e", s.address());
-  p.endpoints.address("f", s.address());
+  p.endpoints.setAddress("e", s.address());
+  p.endpoints.setAddress("f", s.address());
   for (int i = 0; i < 8; ++i)
-    p.endpoints.call(p.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
+    p.endpoints.startCall(p.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
   p.waitFor(8);
   EXPECT_EQ(3u, p.endpoints.idle());
-  p.endpoints.call(p.message("first"), 0, "f", within(60'000'000));
+  p.endpoints.startCall(p.message("first"), 0, "f", within(60'000'000));
   p.waitFor(9);
   EXPECT_EQ(3u, p.endpoints.idle());
-  p.endpoints.call(p.message("again"), 0, "f", within(60'000'000));
+  p.endpoints.startCall(p.message("again"), 0, "f", within(60'000'000));
   p.waitFor(10);
   EXPECT_EQ(s.seen()[8].connection, s.seen()[9].connection);
 }
--- a/tests/process/upgrade_test.cpp
+++ b/tests/process/upgrade_test.cpp
@@ -341,7 +341,7 @@
   const pid_t child = ::fork();
   if (child == 0) {
     OwnershipLock held(folder.path());
-    const char taken = held.take() ? 'y' : 'n';
+    const char taken = held.tryAcquire() ? 'y' : 'n';
     (void)!::write(ready[1], &taken, 1);
     char c;
     (void)!::read(go[0], &c, 1);
@@ -351,12 +351,12 @@
   ASSERT_EQ(1, ::read(ready[0], &taken, 1));
   EXPECT_EQ('y', taken);
   OwnershipLock lock(folder.path());
-  EXPECT_FALSE(lock.take());
+  EXPECT_FALSE(lock.tryAcquire());
   EXPECT_EQ(child, lock.holder());
   ::kill(child, SIGKILL);
   ::waitpid(child, nullptr, 0);
   EXPECT_EQ(0, lock.holder());
-  EXPECT_TRUE(lock.take());
+  EXPECT_TRUE(lock.tryAcquire());
   for (int fd : {ready[0], ready[1], go[0], go[1]})
     ::close(fd);
 }
--- a/tests/protocol/settings_reader_test.cpp
+++ b/tests/protocol/settings_reader_test.cpp
@@ -11,7 +11,7 @@
 
 TEST(Settings, RejectedWithTheFieldsName) {
   Settings s = makeSettings();
-  s.slots = 0;
+  s.call_slots = 0;
   try {
     validateSettings(s);
     FAIL();
--- a/tests/storage/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -21,8 +21,8 @@
   m.idempotency_key = "key" + id;
   m.body = std::string(size, 'b') + '\0' + "\r\n";
   m.destination = 7;
-  m.give_up_at = Deadline(123456789);
-  m.span = 28'000'000;
+  m.deadline = Deadline(123456789);
+  m.time_to_live = 28'000'000;
   return m;
 }
 
@@ -38,42 +38,42 @@
   TempFolder t;
   {
     Journal j(t.path(), {3'000'000});
-    j.accepted(message("b"));
-    j.accepted(message("a"));
-    j.accepted(message("c"));
-    j.attempted("a", {"e1", 55, false});
-    j.attempted("a", {"e2", 66, false});
-    j.neverRan("a", 0);
-    j.over("c");
-    j.noticeOwed("b", {true, 250});
-    j.ailing({"", 7, false, 11, 0});
-    j.ailing({"", 7, true, 99, 123});
-    j.listed("{\"index\":4}");
+    j.recordAccepted(message("b"));
+    j.recordAccepted(message("a"));
+    j.recordAccepted(message("c"));
+    j.recordAttempt("a", {"e1", 55, false});
+    j.recordAttempt("a", {"e2", 66, false});
+    j.recordNeverRan("a", 0);
+    j.recordCompleted("c");
+    j.recordNoticePending("b", {true, 250});
+    j.recordHealth({"", 7, false, 11, 0});
+    j.recordHealth({"", 7, true, 99, 123});
+    j.recordEndpointList("{\"index\":4}");
     ASSERT_TRUE(j.flush());
   }
   Journal j(t.path(), {3'000'000});
   const auto& r = j.recovered();
   ASSERT_EQ(2u, r.entries.size());
   EXPECT_EQ("b", r.entries[0].message.id);
-  EXPECT_TRUE(r.entries[0].ended && r.entries[0].notice.handed_back);
-  EXPECT_EQ(250, r.entries[0].notice.retry_in_ms);
+  EXPECT_TRUE(r.entries[0].notice_pending && r.entries[0].notice.returned);
+  EXPECT_EQ(250, r.entries[0].notice.retry_after_ms);
   const auto& a = r.entries[1];
   EXPECT_EQ(message("a").body, a.message.body);
   EXPECT_EQ("keya", a.message.idempotency_key);
   EXPECT_EQ(7, a.message.destination);
-  EXPECT_EQ(123456789, a.message.give_up_at.at());
+  EXPECT_EQ(123456789, a.message.deadline.at());
   ASSERT_EQ(2u, a.attempts.size());
   EXPECT_TRUE(a.attempts[0].never_ran);
   EXPECT_FALSE(a.attempts[1].never_ran);
   EXPECT_EQ("e2", a.attempts[1].endpoint);
-  EXPECT_EQ(66, a.attempts[1].sent);
-  ASSERT_EQ(1u, r.ailments.size());  // the latest of a destination
-  EXPECT_TRUE(r.ailments[0].down);
-  EXPECT_EQ(99, r.ailments[0].cold_since);
-  EXPECT_EQ(123, r.ailments[0].wait_until);
-  EXPECT_EQ("{\"index\":4}", r.list);
+  EXPECT_EQ(66, a.attempts[1].sent_at);
+  ASSERT_EQ(1u, r.health_records.size());  // the latest of a destination
+  EXPECT_TRUE(r.health_records[0].down);
+  EXPECT_EQ(99, r.health_records[0].warming_since);
+  EXPECT_EQ(123, r.health_records[0].retry_after_until);
+  EXPECT_EQ("{\"index\":4}", r.endpoint_list);
   EXPECT_FALSE(r.damaged);
-  EXPECT_NE(std::string::npos, r.found.find("12 records")) << r.found;
+  EXPECT_NE(std::string::npos, r.summary.find("12 records")) << r.summary;
 }
 
 TEST(Journal, CutsATornTailAtEveryLengthAndKeepsTheRest) {
@@ -81,13 +81,13 @@
   const std::string path = t.path() + "/journal";
   {
     Journal j(t.path(), {3'000'000});
-    j.accepted(message("a"));
+    j.recordAccepted(message("a"));
     j.flush();
   }
   const std::string first = readFile(path);
   {
     Journal j(t.path(), {3'000'000});
-    j.accepted(message("b"));
+    j.recordAccepted(message("b"));
     j.flush();
   }
   const std::string both = readFile(path);
@@ -96,9 +96,9 @@
     {
       Journal j(t.path(), {3'000'000});
       ASSERT_EQ(1u, j.recovered().entries.size()) << size;
-      EXPECT_EQ(size > first.size(), j.recovered().found.find("a torn tail") != std::string::npos);
+      EXPECT_EQ(size > first.size(), j.recovered().summary.find("a torn tail") != std::string::npos);
       EXPECT_FALSE(j.recovered().damaged);
-      j.accepted(message("c"));  // what comes after the cut is sound
+      j.recordAccepted(message("c"));  // what comes after the cut is sound
       ASSERT_TRUE(j.flush());
     }
     Journal again(t.path(), {3'000'000});
@@ -113,12 +113,12 @@
   std::size_t before = 0;
   {
     Journal j(t.path(), {3'000'000});
-    j.accepted(message("a"));
+    j.recordAccepted(message("a"));
     j.flush();
     before = std::filesystem::file_size(path);
-    j.attempted("a", {"e1", 55, false});
+    j.recordAttempt("a", {"e1", 55, false});
     j.flush();
-    j.accepted(message("b"));
+    j.recordAccepted(message("b"));
     j.flush();
   }
   const std::string whole = readFile(path);
@@ -155,14 +155,14 @@
     if (!j.reserve(m)) {
       ++refused;
       ASSERT_FALSE(open.empty());
-      j.over(open.front());
+      j.recordCompleted(open.front());
       open.erase(open.begin());
     } else {
       ++taken;
-      j.accepted(m);
+      j.recordAccepted(m);
       open.push_back(m.id);
       for (int a = 0; a < 12; ++a)
-        j.attempted(m.id, {"s-5be2a07c", i, false});
+        j.recordAttempt(m.id, {"s-5be2a07c", i, false});
     }
     ASSERT_TRUE(j.flush()) << i;
     ASSERT_LE(onDisk(t.path()), budget);
--- a/tests/storage/recovery_test.cpp
+++ b/tests/storage/recovery_test.cpp
@@ -33,8 +33,8 @@
   m.tenant = "t";
   m.body = std::string(size, 'b');
   m.destination = 7;
-  m.give_up_at = Deadline(kNow.monotonic + 28 * kS);
-  m.span = 28 * kS;
+  m.deadline = Deadline(kNow.monotonic + 28 * kS);
+  m.time_to_live = 28 * kS;
   return m;
 }
 
@@ -242,15 +242,15 @@
   Disk disk;
   {
     Journal j("d", {3'000'000, durable}, now, disk);
-    j.listed("{\"index\":4}");
-    j.ailing({"", 7, true, 99, 123});
+    j.recordEndpointList("{\"index\":4}");
+    j.recordHealth({"", 7, true, 99, 123});
     for (const char* id : {"run", "never", "new", "owed", "over"})
-      j.accepted(message(id));
+      j.recordAccepted(message(id));
     for (const char* id : {"run", "never", "over"})
-      j.attempted(id, {"e1", now.monotonic, false});
-    j.neverRan("never", 0);
-    j.noticeOwed("owed", {true, 250});
-    j.over("over");
+      j.recordAttempt(id, {"e1", now.monotonic, false});
+    j.recordNeverRan("never", 0);
+    j.recordNoticePending("owed", {true, 250});
+    j.recordCompleted("over");
     EXPECT_TRUE(j.flush());
   }
   return disk.content(kPath);
@@ -269,14 +269,14 @@
   std::string line;
   bool safeToResume() const {  // what may have run is not there as if it had not
     const auto it = entries.find("run");
-    return it == entries.end() || it->second.ended || mayHaveRun(it->second) > 0;
+    return it == entries.end() || it->second.notice_pending || mayHaveRun(it->second) > 0;
   }
 };
 Found reopen(Disk& disk, const Clocks& now = kNow, bool durable = false) {
   Journal j("d", {3'000'000, durable}, now, disk);
   Found f;
   f.damaged = j.recovered().damaged;
-  f.line = j.recovered().found;
+  f.line = j.recovered().summary;
   for (const auto& e : j.recovered().entries)
     f.entries[e.message.id] = e;
   return f;
@@ -327,8 +327,8 @@
   {
     Journal j("d", {3'000'000}, kNow, disk);
     for (int i = 0; i < 40; ++i) {
-      j.accepted(message("m" + std::to_string(i), 60));
-      j.attempted("m" + std::to_string(i), {"e1", kNow.monotonic, false});
+      j.recordAccepted(message("m" + std::to_string(i), 60));
+      j.recordAttempt("m" + std::to_string(i), {"e1", kNow.monotonic, false});
     }
     ASSERT_TRUE(j.flush());
   }
@@ -371,7 +371,7 @@
     ASSERT_EQ(sound.entries.size(), f.entries.size());
     for (const auto& [id, e] : sound.entries) {
       EXPECT_EQ(e.attempts.size(), f.entries.at(id).attempts.size()) << id;
-      EXPECT_EQ(e.ended, f.entries.at(id).ended) << id;
+      EXPECT_EQ(e.notice_pending, f.entries.at(id).notice_pending) << id;
     }
   }
 }
@@ -451,12 +451,12 @@
   const Found f = reopen(disk);
   EXPECT_FALSE(f.damaged) << f.line;
   ASSERT_EQ(3u, f.entries.size());
-  EXPECT_EQ(kNow.monotonic + 5 * kS, f.entries.at("run").message.give_up_at.at());
+  EXPECT_EQ(kNow.monotonic + 5 * kS, f.entries.at("run").message.deadline.at());
   EXPECT_EQ("t", f.entries.at("run").message.tenant);
-  EXPECT_TRUE(f.entries.at("run").message.repeat);
-  EXPECT_EQ(kNow.monotonic, f.entries.at("run").attempts.at(0).sent);
+  EXPECT_TRUE(f.entries.at("run").message.is_retry);
+  EXPECT_EQ(kNow.monotonic, f.entries.at("run").attempts.at(0).sent_at);
   EXPECT_EQ(0u, mayHaveRun(f.entries.at("new")));
-  EXPECT_EQ(250, f.entries.at("owed").notice.retry_in_ms);
+  EXPECT_EQ(250, f.entries.at("owed").notice.retry_after_ms);
   EXPECT_EQ("\xA7GJ2", disk.content(kPath).substr(0, 4));
   for (std::size_t at = first.size(); at < first.size() + tried.size(); ++at) {
     std::string data = first + tried + rest;
@@ -474,23 +474,23 @@
     later.monotonic += 10 * kS;
     later.unix += step;
     const Found f = reopen(everyType(), later);
-    EXPECT_EQ(message("new").give_up_at, f.entries.at("new").message.give_up_at);
-    EXPECT_EQ(kNow.monotonic, f.entries.at("run").attempts.at(0).sent);
+    EXPECT_EQ(message("new").deadline, f.entries.at("new").message.deadline);
+    EXPECT_EQ(kNow.monotonic, f.entries.at("run").attempts.at(0).sent_at);
   }
 }
 
 // After a reboot only Unix time is left to tell; no message has more than its whole span.
 TEST(RecoveryClocks, AfterARebootNoMessageHasMoreThanItsSpan) {
   Clocks later{2 * kS, kNow.unix + 10 * kS, "boot-b"};
-  EXPECT_EQ(20 * kS, reopen(everyType(), later).entries.at("new").message.give_up_at.at());
+  EXPECT_EQ(20 * kS, reopen(everyType(), later).entries.at("new").message.deadline.at());
   later.unix = kNow.unix - 3600 * kS;
-  EXPECT_EQ(30 * kS, reopen(everyType(), later).entries.at("new").message.give_up_at.at());
+  EXPECT_EQ(30 * kS, reopen(everyType(), later).entries.at("new").message.deadline.at());
 }
 
 // Where no boot id is known, a clock that stands before what was written is another one.
 TEST(RecoveryClocks, AClockThatWentBackIsAnotherOne) {
   const Clocks restarted{kS, kNow.unix + 10 * kS, kNow.boot};
-  EXPECT_EQ(19 * kS, reopen(everyType(), restarted).entries.at("new").message.give_up_at.at());
+  EXPECT_EQ(19 * kS, reopen(everyType(), restarted).entries.at("new").message.deadline.at());
 }
 
 // ---- Power cuts and failing calls
@@ -510,11 +510,11 @@
     Journal j("d", {3'000'000, durable}, kNow, disk);
     const int before = disk.syncs;
     for (const char* id : {"a", "b", "c"})
-      j.accepted(message(id));
-    j.attempted("a", {"e1", kNow.monotonic, false});
+      j.recordAccepted(message(id));
+    j.recordAttempt("a", {"e1", kNow.monotonic, false});
     ASSERT_TRUE(j.flush());
     EXPECT_EQ(before + (durable ? 1 : 0), disk.syncs);
-    j.over("a");
+    j.recordCompleted("a");
     ASSERT_TRUE(j.flush());
     EXPECT_EQ(before + (durable ? 1 : 0), disk.syncs);
   }
@@ -540,18 +540,18 @@
             const std::string id = "m" + std::to_string(i);
             if (!j.reserve(message(id, 3000)))
               continue;
-            j.accepted(message(id, 3000));
+            j.recordAccepted(message(id, 3000));
             if (j.flush())
               promised.insert(id);
             else {
-              j.over(id);
+              j.recordCompleted(id);
               continue;
             }
-            j.attempted(id, {"e1", kNow.monotonic, false});
+            j.recordAttempt(id, {"e1", kNow.monotonic, false});
             if (j.flush())
               sent.insert(id);
             if (i % 2 == 0) {
-              j.over(id);
+              j.recordCompleted(id);
               j.flush();
               promised.erase(id);
             }
@@ -609,7 +609,7 @@
     Journal j("d", {150'000, durable_}, now_, disk_);
     std::map<std::string, std::size_t> attempts;
     for (const auto& e : j.recovered().entries)
-      if (!e.ended)
+      if (!e.notice_pending)
         attempts[e.message.id] = e.attempts.size();
     for (int step = 0; step < 60 && !disk_.dead(); ++step) {
       std::set<std::string> fresh, over;
@@ -617,10 +617,10 @@
       for (int n = below(4); n > 0; --n) {
         const std::string id = "m" + std::to_string(++ids_);
         AcceptedMessage m = message(id, static_cast<std::size_t>(below(900)));
-        m.give_up_at = Deadline::after(now_.monotonic, m.span);
+        m.deadline = Deadline::after(now_.monotonic, m.time_to_live);
         if (!j.reserve(m))
           continue;
-        j.accepted(m);
+        j.recordAccepted(m);
         attempts[id] = 0;
         fresh.insert(id);
       }
@@ -628,15 +628,15 @@
         const std::string& id = it->first;
         const int what = below(6);
         if (what == 0 && it->second < 12) {
-          j.attempted(id, {"e1", now_.monotonic, false});
+          j.recordAttempt(id, {"e1", now_.monotonic, false});
           ++it->second;
           sending.push_back(id);
         } else if (what == 1 && it->second > 0 && ran_.count(id) && ran_[id] == 1 && !fresh.count(id)) {
           // its only attempt that may have run turns out never to have
-          j.neverRan(id, it->second - 1);
+          j.recordNeverRan(id, it->second - 1);
           --ran_[id];
         } else if (what == 2 && !fresh.count(id)) {
-          j.over(id);
+          j.recordCompleted(id);
           over.insert(id);
           it = attempts.erase(it);
           continue;
@@ -653,7 +653,7 @@
         if (kept)
           held_.insert(id);
         else {
-          j.over(id);
+          j.recordCompleted(id);
           attempts.erase(id);
         }
       }
@@ -663,7 +663,7 @@
       else
         for (const std::string& id : sending)
           if (attempts.count(id))
-            j.neverRan(id, attempts[id] - 1);
+            j.recordNeverRan(id, attempts[id] - 1);
     }
   } catch (const std::runtime_error&) {
   }  // a start that a failing call stopped
@@ -683,7 +683,7 @@
     for (const std::string& id : held_)
       ASSERT_TRUE(f.entries.count(id)) << id << " was taken on; " << f.line;
     for (const auto& [id, e] : f.entries)
-      if (ran_.count(id) && ran_[id] > 0 && !e.ended)
+      if (ran_.count(id) && ran_[id] > 0 && !e.notice_pending)
         ASSERT_GT(mayHaveRun(e), 0u) << id << " would go out again; " << f.line;
   }
 
--- a/tests/support/scheduler_fixture.h
+++ b/tests/support/scheduler_fixture.h
@@ -17,11 +17,11 @@
 inline MessageClass makeClass(const std::string& name, Idempotency effect, Micros aim = 2 * kS) {
   MessageClass c;
   c.name = name;
-  c.effect = effect;
-  c.aim = aim;
+  c.idempotency = effect;
+  c.latency_objective = aim;
   c.deadline = 20 * kS;
-  c.late_worth = 0.3;
-  c.memory = 5 * kS;
+  c.late_weight_share = 0.3;
+  c.deduplication_window = 5 * kS;
   return c;
 }
 
@@ -29,21 +29,21 @@
   Settings s;
   s.classes = {makeClass("safe", Idempotency::idempotent), makeClass("keyed", Idempotency::with_key),
                makeClass("unsafe", Idempotency::non_idempotent)};
-  s.kinds = {{"shared", false, 1}, {"apart", true, 1}, {"batch", false, 3}};
+  s.destination_kinds = {{"shared", false, 1}, {"apart", true, 1}, {"batch", false, 3}};
   s.zones = {"a", "b"};
-  s.slots = 8;
-  s.max_open = 200;
+  s.call_slots = 8;
+  s.max_messages = 200;
   s.max_attempts = 6;
   s.tick = 5 * kMs;
   s.answer_slack = 20 * kMs;
-  s.ask_within = 10 * kS;
+  s.poll_interval = 10 * kS;
   s.drain_grace = 250 * kMs;
-  s.fall_span = 2 * kS;
-  s.ramp_time = 10 * kS;
-  s.cold_share = 0.3;
+  s.overload_window = 2 * kS;
+  s.slow_start_time = 10 * kS;
+  s.slow_start_share = 0.3;
   s.overload_factor = 1.5;
-  s.dial_timeout = kS;
-  s.conn_idle = 5 * kS;
+  s.connect_timeout = kS;
+  s.connection_idle_timeout = 5 * kS;
   return s;
 }
 
@@ -78,7 +78,7 @@
     a.order_key = key;
     for (const auto& c : set.classes)
       if (c.name == cls)
-        a.give_up_at = Deadline::after(now, c.deadline);
+        a.deadline = Deadline::after(now, c.deadline);
     return a;
   }
   std::vector<std::string> arrive(const std::string& id, const std::string& cls, std::int64_t dest,
@@ -92,8 +92,8 @@
     o.attempt = attempt;
     o.result = r;
     o.finished = r == AttemptResult::ok;
-    o.rtt = rtt;
-    o.wait = wait;
+    o.round_trip_time = rtt;
+    o.retry_after = wait;
     return o;
   }
   std::vector<std::string> end(const std::string& id, int attempt, AttemptResult r, Micros rtt = 100 * kMs,
