--- a/src/network/connections.cpp
+++ b/src/network/connections.cpp
@@ -42,13 +42,16 @@
 Budget budgetOf(const ProcessLimits& l, bool beside_older) {
   const std::int64_t room = l.sockets - kOwnFiles - kStartingFiles - l.slots;
   if (room < kLeastRoom)
-    bad("limits.sockets is too small: " + std::to_string(l.sockets) + " of at least " +
-        std::to_string(kOwnFiles + kStartingFiles + l.slots + kLeastRoom));
+    throw InvalidInput(InputProblem::out_of_range, "limits.sockets",
+                       "limits.sockets is too small: " + std::to_string(l.sockets) + " of at least " +
+                           std::to_string(kOwnFiles + kStartingFiles + l.slots + kLeastRoom));
   Budget b;
   b.buffered = static_cast<std::size_t>(std::max<std::int64_t>(0, l.memory_bytes / kShareOfMemory));
   if (b.buffered < kLongestRequest)
-    bad("limits.memory_mb is too small: " + std::to_string(l.memory_bytes / 1'000'000) + " of at least " +
-        std::to_string((kLongestRequest * kShareOfMemory + 999'999) / 1'000'000));
+    throw InvalidInput(InputProblem::out_of_range, "limits.memory_mb",
+                       "limits.memory_mb is too small: " + std::to_string(l.memory_bytes / 1'000'000) +
+                           " of at least " +
+                           std::to_string((kLongestRequest * kShareOfMemory + 999'999) / 1'000'000));
   // A quarter of the room for idle connections to endpoints, which a crowd of clients must not fill.
   b.idle_calls = room / 4;
   b.calls = l.slots + b.idle_calls;
--- a/src/network/discovery_client.cpp
+++ b/src/network/discovery_client.cpp
@@ -20,35 +20,37 @@
 constexpr Micros kNoticePause = 50'000;
 constexpr std::size_t kListLimit = 8u << 20;
 
+constexpr EnumWord<EndpointState> kEndpointStateWords[] = {
+    {"Ready", EndpointState::ready},
+    {"Terminating", EndpointState::draining},
+    {"Gone", EndpointState::removed},
+};
+
 EndpointState stateOf(const json& e) {
-  return oneOf<EndpointState>(text(e, "status"),
-                              {{"Ready", EndpointState::ready},
-                               {"Terminating", EndpointState::draining},
-                               {"Gone", EndpointState::removed}},
-                              "status");
+  return enumFromWord(readString(e, "status"), kEndpointStateWords, "status");
 }
 
 }  // namespace
 
 EndpointList::EndpointListUpdate EndpointList::apply(const json& answer) {
   if (!answer.is_object())
-    bad("the list is not an object");
-  const std::int64_t index = integer(answer, "index");
-  const bool whole = truth(answer, "snapshot", false);
+    throw InvalidInput(InputProblem::wrong_type, "", "the list is not an object");
+  const std::int64_t index = readInteger(answer, "index");
+  const bool whole = readBoolean(answer, "snapshot", false);
   EndpointListUpdate news;
   news.kind = whole ? EndpointUpdateKind::full : EndpointUpdateKind::delta;
   std::map<std::string, json> changed;
-  for (const json& e : array(answer, "endpoints")) {
+  for (const json& e : readArray(answer, "endpoints")) {
     if (!e.is_object())
-      bad("an endpoint is not an object");
+      throw InvalidInput(InputProblem::wrong_type, "endpoints", "an endpoint is not an object");
     ListedEndpoint l;
-    l.endpoint.id = text(e, "name");
-    l.endpoint.zone = text(e, "zone", "");
-    l.endpoint.kind = text(e, "type", "");
-    l.endpoint.destination = integer(e, "group");
-    l.endpoint.weight = number(e, "weight", 0);
+    l.endpoint.id = readString(e, "name");
+    l.endpoint.zone = readString(e, "zone", "");
+    l.endpoint.kind = readString(e, "type", "");
+    l.endpoint.destination = readInteger(e, "group");
+    l.endpoint.weight = readNumber(e, "weight", 0);
     l.endpoint.state = stateOf(e);
-    l.address = text(e, "address", "");
+    l.address = readString(e, "address", "");
     changed[l.endpoint.id] = e;
     news.endpoints.push_back(std::move(l));
   }
--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -35,7 +35,7 @@
   // The newer of the two lists: a drain that was heard before the restart still counts.
   json list = known;
   const json own = json::parse(r.endpoint_list, nullptr, false);
-  if (own.is_object() && (!list.is_object() || number(own, "index", -1) >= number(list, "index", -1)))
+  if (own.is_object() && (!list.is_object() || readNumber(own, "index", -1) >= readNumber(list, "index", -1)))
     list = own;
   if (list.is_object() && !list.empty()) {
     EndpointList::EndpointListUpdate news = list_.apply(list);
--- a/src/process/sender_process.cpp
+++ b/src/process/sender_process.cpp
@@ -25,7 +25,7 @@
 
 EndpointPool::CallId callOf(const json& j) {
   if (!j.is_array() || j.size() != 2 || !j[0].is_string() || !j[1].is_number_integer())
-    bad("not a call");
+    throw InvalidInput(InputProblem::malformed, "", "not a call");
   return {j[0].get<std::string>(), j[1].get<int>()};
 }
 
@@ -44,20 +44,20 @@
 
 AttemptOutcome outcomeFromJson(const json& j) {
   AttemptOutcome o;
-  o.id = text(j, "id");
-  o.attempt = static_cast<int>(integer(j, "attempt"));
-  const std::int64_t result = integer(j, "result");
+  o.id = readString(j, "id");
+  o.attempt = static_cast<int>(readInteger(j, "attempt"));
+  const std::int64_t result = readInteger(j, "result");
   if (result < 0 || result > static_cast<int>(AttemptResult::not_sent))
-    bad("not a result");
+    throw InvalidInput(InputProblem::unknown_value, "result", "not a result");
   o.result = static_cast<AttemptResult>(result);
-  o.finished = truth(j, "finished");
-  o.still_in_flight = truth(j, "still_out", false);
-  o.retry_after = integer(j, "wait");
-  o.round_trip_time = integer(j, "rtt");
-  if (!absent(j, "report")) {
-    const json& r = array(j, "report");
+  o.finished = readBoolean(j, "finished");
+  o.still_in_flight = readBoolean(j, "still_out", false);
+  o.retry_after = readInteger(j, "wait");
+  o.round_trip_time = readInteger(j, "rtt");
+  if (!isAbsent(j, "report")) {
+    const json& r = readArray(j, "report");
     if (r.size() != 2 || !r[0].is_number() || !r[1].is_number())
-      bad("not a report");
+      throw InvalidInput(InputProblem::malformed, "report", "not a report");
     o.load_report = LoadReport{r[0].get<double>(), r[1].get<double>()};
   }
   return o;
@@ -274,16 +274,16 @@
   yield_from_ = monotonicNow();
   newer_->start(
       [this](const json& m) {
-        if (!absent(m, "serving"))
+        if (!isAbsent(m, "serving"))
           newer_serves_ = true;
-        if (!absent(m, "held")) {
-          const std::string endpoint = text(m, "held");
-          absent(m, "destination") ? endpoints_.onEndpointDraining(endpoint)
-                                   : endpoints_.onRetryAfter(endpoint, integer(m, "destination"));
+        if (!isAbsent(m, "held")) {
+          const std::string endpoint = readString(m, "held");
+          isAbsent(m, "destination") ? endpoints_.onEndpointDraining(endpoint)
+                                     : endpoints_.onRetryAfter(endpoint, readInteger(m, "destination"));
         }
-        if (absent(m, "cancel"))
+        if (isAbsent(m, "cancel"))
           return;
-        const CallId call = callOf(field(m, "cancel"));
+        const CallId call = callOf(requireField(m, "cancel"));
         endpoints_.cancel(call.first, call.second);
       },
       [this] { onNewerEnd(); });
@@ -319,15 +319,15 @@
 }
 
 void SenderProcess::onOlderMessage(const json& message) {
-  if (!absent(message, "release")) {
-    for (const json& c : array(message, "release"))
+  if (!isAbsent(message, "release")) {
+    for (const json& c : readArray(message, "release"))
       elsewhere_.insert(callOf(c));
     older_released_ = true;
     look();
   }
-  if (absent(message, "outcome"))
+  if (isAbsent(message, "outcome"))
     return;
-  AttemptOutcome o = outcomeFromJson(field(message, "outcome"));
+  AttemptOutcome o = outcomeFromJson(requireField(message, "outcome"));
   if (elsewhere_.count({o.id, o.attempt}) == 0)
     return;
   if (!o.still_in_flight)
--- a/src/programs/message_sender.cpp
+++ b/src/programs/message_sender.cpp
@@ -31,40 +31,40 @@
 }
 
 std::uint64_t seedOf(const json& o) {
-  if (absent(o, "seed"))
+  if (isAbsent(o, "seed"))
     return 0;
-  const json& s = field(o, "seed");
+  const json& s = requireField(o, "seed");
   if (s.is_number_unsigned())
     return s.get<std::uint64_t>();
-  const std::string hex = text(o, "seed");
+  const std::string hex = readString(o, "seed");
   if (hex.empty() || hex.size() > 16 || hex.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos)
-    bad("not a hexadecimal number: seed");
+    throw InvalidInput(InputProblem::malformed, "seed", "not a hexadecimal number: seed");
   return std::stoull(hex, nullptr, 16);
 }
 
 json readFile() {
   const std::string path = variable("GW_CONFIG", "");
   if (path.empty())
-    bad("GW_CONFIG is not set");
+    throw InvalidInput(InputProblem::missing, "GW_CONFIG", "GW_CONFIG is not set");
   std::ifstream file(path);
   if (!file)
-    bad("can't be read: " + path);
+    throw InvalidInput(InputProblem::malformed, "GW_CONFIG", "can't be read: " + path);
   std::stringstream all;
   all << file.rdbuf();
   json o = json::parse(all.str(), nullptr, false);
   if (!o.is_object())
-    bad("not a JSON object: " + path);
+    throw InvalidInput(InputProblem::wrong_type, "GW_CONFIG", "not a JSON object: " + path);
   return o;
 }
 
 // The file's address first: it may have been replaced since the environment was made.
 std::string discoveryOf(const json& o) {
-  return text(o, "discovery", variable("GW_DISCOVERY", "").c_str());
+  return readString(o, "discovery", variable("GW_DISCOVERY", "").c_str());
 }
 
 // A figure of `limits`, `times` a unit, within what can be reckoned with.
 std::int64_t limitOf(const json& o, const char* name, double otherwise, double times) {
-  const double v = number(optionalObject(o, "limits"), name, otherwise) * times;
+  const double v = readNumber(readOptionalObject(o, "limits"), name, otherwise) * times;
   return static_cast<std::int64_t>(std::min(std::max(v, 0.0), 1e15));
 }
 std::int64_t socketsOf(const json& o) {
@@ -77,22 +77,22 @@
 Config readConfig() {
   const json o = readFile();
   Config c;
-  c.listen = variable("GW_LISTEN", text(o, "listen", ""));
+  c.listen = variable("GW_LISTEN", readString(o, "listen", ""));
   c.discovery = discoveryOf(o);
-  c.control = variable("GW_CONTROL", text(o, "control", ""));
+  c.control = variable("GW_CONTROL", readString(o, "control", ""));
   c.state = variable("GW_STATE", "");
   if (c.state.empty())
-    bad("GW_STATE is not set");
+    throw InvalidInput(InputProblem::missing, "GW_STATE", "GW_STATE is not set");
   c.scratch = variable("TMPDIR", c.state);
   c.passed_socket = descriptorIn("GW_PASSED_SOCKET");
   c.seed = seedOf(o);
   c.disk_bytes = static_cast<std::uint64_t>(limitOf(o, "disk_mb", 3, 1e6));
   c.sockets = socketsOf(o);
   c.memory_bytes = memoryOf(o);
-  c.durable = truth(o, "durable", false);
-  if (!absent(o, "known"))
-    c.known = object(o, "known");
-  c.settings = readSettings(object(o, "settings"));
+  c.durable = readBoolean(o, "durable", false);
+  if (!isAbsent(o, "known"))
+    c.known = readObject(o, "known");
+  c.settings = readSettings(readObject(o, "settings"));
   return c;
 }
 
--- a/src/programs/simulator_adapter.cpp
+++ b/src/programs/simulator_adapter.cpp
@@ -10,17 +10,19 @@
 
 namespace {
 
+constexpr EnumWord<AttemptResult> kAttemptResultWords[] = {
+    {"success", AttemptResult::ok},
+    {"failure", AttemptResult::error},
+    {"overloaded", AttemptResult::throttled},
+    {"timed_out", AttemptResult::timeout},
+    {"unreachable", AttemptResult::connect_failed},
+    {"broken", AttemptResult::reset},
+    {"withdrawn", AttemptResult::cancelled},
+    {"void", AttemptResult::not_sent},
+};
+
 AttemptResult readResult(const json& o) {
-  return oneOf<AttemptResult>(text(o, "How"),
-                              {{"success", AttemptResult::ok},
-                               {"failure", AttemptResult::error},
-                               {"overloaded", AttemptResult::throttled},
-                               {"timed_out", AttemptResult::timeout},
-                               {"unreachable", AttemptResult::connect_failed},
-                               {"broken", AttemptResult::reset},
-                               {"withdrawn", AttemptResult::cancelled},
-                               {"void", AttemptResult::not_sent}},
-                              "How");
+  return enumFromWord(readString(o, "How"), kAttemptResultWords, "How");
 }
 
 struct Instance {
@@ -37,13 +39,13 @@
   std::string turn(const std::string& line) {
     json batch = json::parse(line, nullptr, false);
     if (batch.is_discarded())
-      bad("not JSON");
+      throw InvalidInput(InputProblem::malformed, "", "not JSON");
     if (!batch.is_object())
-      bad("not an object");
-    const Micros now = span(batch, "SimTimeMs");
+      throw InvalidInput(InputProblem::wrong_type, "", "not an object");
+    const Micros now = readMilliseconds(batch, "SimTimeMs");
     touched_.clear();
     faults_.clear();
-    for (const json& e : array(batch, "arrivals"))
+    for (const json& e : readArray(batch, "arrivals"))
       take(e);
     json cmds = json::array();
     for (std::int64_t who : touched_)
@@ -56,26 +58,27 @@
  private:
   void take(const json& e) {
     if (!e.is_object() || e.size() != 1)
-      bad("an event is an object of one key");
+      throw InvalidInput(InputProblem::wrong_type, "", "an event is an object of one key");
     const std::string name = e.begin().key();
     try {
       takeNamed(name, e.begin().value());
     } catch (const InvalidInput& b) {
-      bad(name + ": " + b.what());
+      throw InvalidInput(b.problem(), name + "." + b.field(), name + ": " + b.what());
     }
   }
 
   void takeNamed(const std::string& name, const json& f) {
     if (!f.is_object())
-      bad("not an object");
+      throw InvalidInput(InputProblem::wrong_type, "", "not an object");
     if (name == "Roster")
       return roster(f);
-    const std::int64_t who = integer(f, "Who");
+    const std::int64_t who = readInteger(f, "Who");
     if (name == "Attach")
       return attach(who, f);
     auto it = instances_.find(who);
     if (it == instances_.end())
-      bad("instance never attached: " + std::to_string(who));
+      throw InvalidInput(InputProblem::unknown_value, "Who",
+                         "instance never attached: " + std::to_string(who));
     if (name == "PowerOff") {
       instances_.erase(it);
       return;
@@ -88,30 +91,30 @@
     } else if (name == "Call") {
       i.events.push_back(call(f));
     } else if (name == "TimeoutFired") {
-      integer(f, "Label");
+      readInteger(f, "Label");
       i.events.push_back(TimerFired{});
     } else if (name == "CheckResult") {
       readResult(f);  // the module never probes, so there is nobody to tell
     } else if (name == "Established") {
-      integer(f, "Attempt");  // no class here has streamed answers
+      readInteger(f, "Attempt");  // no class here has streamed answers
     } else if (name == "Left") {
-      i.events.push_back(Abandoned{text(f, "OpId")});
+      i.events.push_back(Abandoned{readString(f, "OpId")});
     } else if (name == "Reply") {
       i.events.push_back(reply(i, f));
     } else if (name != "Whisper") {
-      bad("unknown event");
+      throw InvalidInput(InputProblem::unknown_value, "", "unknown event");
     }
   }
 
   void attach(std::int64_t who, const json& f) {
-    const json& seed = field(f, "RandomSeed");
+    const json& seed = requireField(f, "RandomSeed");
     if (!seed.is_number_integer())
-      bad("not a whole number: RandomSeed");
-    const json& o = object(f, "Options");
+      throw InvalidInput(InputProblem::wrong_type, "RandomSeed", "not a whole number: RandomSeed");
+    const json& o = readObject(f, "Options");
     int x0 = -1, x1 = -1, at = 0;
-    const json& stats = optionalObject(o, "Stats");
-    if (!absent(stats, "Fields"))
-      for (const json& n : array(stats, "Fields")) {
+    const json& stats = readOptionalObject(o, "Stats");
+    if (!isAbsent(stats, "Fields"))
+      for (const json& n : readArray(stats, "Fields")) {
         if (n == "x0")
           x0 = at;
         if (n == "x1")
@@ -126,60 +129,61 @@
 
   void roster(const json& f) {
     std::vector<EndpointInfo> list;
-    for (const json& m : array(f, "Members")) {
+    for (const json& m : readArray(f, "Members")) {
       EndpointInfo e;
-      e.id = text(m, "Endpoint");
-      e.zone = text(m, "Hall", "");
-      e.kind = text(m, "Hw", "");
-      e.destination = integer(m, "Cell");
-      const std::int64_t mode = integer(m, "Mode");
+      e.id = readString(m, "Endpoint");
+      e.zone = readString(m, "Hall", "");
+      e.kind = readString(m, "Hw", "");
+      e.destination = readInteger(m, "Cell");
+      const std::int64_t mode = readInteger(m, "Mode");
       if (mode < 1 || mode > 3)
-        bad("unknown value of Mode");
+        throw InvalidInput(InputProblem::unknown_value, "Mode", "unknown value of Mode");
       e.state = mode == 3   ? EndpointState::ready
                 : mode == 2 ? EndpointState::draining
                             : EndpointState::removed;
-      e.weight = number(m, "Share", 0);
+      e.weight = readNumber(m, "Share", 0);
       list.push_back(std::move(e));
     }
-    sheets_[integer(f, "Sheet")] = std::move(list);
+    sheets_[readInteger(f, "Sheet")] = std::move(list);
   }
 
   EndpointsChanged members(const json& f) {
-    const std::int64_t kind = integer(f, "Kind");
+    const std::int64_t kind = readInteger(f, "Kind");
     if (kind < 0 || kind > 3)
-      bad("unknown value of Kind");
+      throw InvalidInput(InputProblem::unknown_value, "Kind", "unknown value of Kind");
     const EndpointUpdateKind kinds[] = {EndpointUpdateKind::delta, EndpointUpdateKind::full,
                                         EndpointUpdateKind::cached, EndpointUpdateKind::failed};
     EndpointsChanged u;
     u.kind = kinds[kind];
     if (u.kind == EndpointUpdateKind::failed)
       return u;
-    const std::int64_t sheet = integer(f, "Sheet");
+    const std::int64_t sheet = readInteger(f, "Sheet");
     auto it = sheets_.find(sheet);
     if (it == sheets_.end())
-      bad("list number never given: " + std::to_string(sheet));
+      throw InvalidInput(InputProblem::unknown_value, "Sheet",
+                         "list number never given: " + std::to_string(sheet));
     u.endpoints = it->second;
     return u;
   }
 
   static Arrival call(const json& f) {
     Arrival a;
-    a.id = text(f, "OpId");
-    a.message_class = text(f, "TierClass");
-    if (!absent(f, "Billing") && f["Billing"].is_string())
-      a.tenant = text(f, "Billing");
-    a.order_key = text(f, "RouteKey", "");
-    a.destination = static_cast<std::int64_t>(number(f, "FarEnd"));
-    a.deadline = Deadline(span(f, "GiveUpAtMs"));
-    a.work_estimate = span(f, "EstimateMs", 0);
-    a.is_retry = truth(f, "Retry", false) || truth(f, "Reconnect", false);
+    a.id = readString(f, "OpId");
+    a.message_class = readString(f, "TierClass");
+    if (!isAbsent(f, "Billing") && f["Billing"].is_string())
+      a.tenant = readString(f, "Billing");
+    a.order_key = readString(f, "RouteKey", "");
+    a.destination = static_cast<std::int64_t>(readNumber(f, "FarEnd"));
+    a.deadline = Deadline(readMilliseconds(f, "GiveUpAtMs"));
+    a.work_estimate = readMilliseconds(f, "EstimateMs", 0);
+    a.is_retry = readBoolean(f, "Retry", false) || readBoolean(f, "Reconnect", false);
     return a;
   }
 
   static std::optional<LoadReport> gauge(const Instance& i, const json& f) {
-    if (absent(f, "Gauge"))
+    if (isAbsent(f, "Gauge"))
       return std::nullopt;
-    const json& row = array(f, "Gauge");
+    const json& row = readArray(f, "Gauge");
     auto at = [&](int k) {
       return k >= 0 && k < static_cast<int>(row.size()) && row[static_cast<std::size_t>(k)].is_number()
                  ? row[static_cast<std::size_t>(k)].get<double>()
@@ -192,13 +196,13 @@
 
   static AttemptOutcome reply(const Instance& i, const json& f) {
     AttemptOutcome o;
-    o.id = text(f, "OpId");
-    o.attempt = static_cast<int>(integer(f, "Attempt"));
+    o.id = readString(f, "OpId");
+    o.attempt = static_cast<int>(readInteger(f, "Attempt"));
     o.result = readResult(f);
-    o.finished = truth(f, "Finished", false);
+    o.finished = readBoolean(f, "Finished", false);
     if (o.result == AttemptResult::throttled)
-      o.retry_after = span(f, "Detail", 0);
-    o.round_trip_time = span(f, "RttMs", 0);
+      o.retry_after = readMilliseconds(f, "Detail", 0);
+    o.round_trip_time = readMilliseconds(f, "RttMs", 0);
     o.load_report = gauge(i, f);
     return o;
   }
@@ -227,13 +231,17 @@
       std::int64_t who;
       json operator()(const SendAttempt& a) const {
         return {{"SubmitTo",
-                 {{"Who", who}, {"OpId", a.id}, {"Endpoint", a.endpoint}, {"WithinMs", toMs(a.timeout)}}}};
+                 {{"Who", who},
+                  {"OpId", a.id},
+                  {"Endpoint", a.endpoint},
+                  {"WithinMs", millisecondsFromMicros(a.timeout)}}}};
       }
       json operator()(const CancelAttempt& a) const {
         return {{"StopAttempt", {{"Who", who}, {"OpId", a.id}, {"Attempt", a.attempt}}}};
       }
       json operator()(const Reject& a) const {
-        return {{"Decline", {{"Who", who}, {"OpId", a.id}, {"CoolDownMs", toMs(a.retry_after)}}}};
+        return {{"Decline",
+                 {{"Who", who}, {"OpId", a.id}, {"CoolDownMs", millisecondsFromMicros(a.retry_after)}}}};
       }
       json operator()(const Fail& a) const { return {{"FinishError", {{"Who", who}, {"OpId", a.id}}}}; }
       json operator()(const HealthRecord&) const { return nullptr; }  // here nothing outlasts a process
@@ -244,7 +252,8 @@
         return {{"Disconnect", {{"Who", who}, {"Endpoint", a.endpoint}}}};
       }
       json operator()(const SetTimer& a) const {
-        return {{"NotifyMe", {{"Who", who}, {"Label", ++i.label}, {"SpanMs", toMs(a.delay)}}}};
+        return {
+            {"NotifyMe", {{"Who", who}, {"Label", ++i.label}, {"SpanMs", millisecondsFromMicros(a.delay)}}}};
       }
     };
     return std::visit(Writer{i, who}, action);
--- a/src/protocol/settings_reader.h
+++ b/src/protocol/settings_reader.h
@@ -1,13 +1,15 @@
-// The settings that both the adapter and the sender are given, from JSON to Settings.
+// Reads the settings that the sender and the simulator's adapter are both given, from their JSON form.
 #pragma once
 
 #include "protocol/json_fields.h"
 
 namespace delivery {
 
-// Throws InvalidInput naming the first field whose value can't be.
+// Throws InvalidInput that names the first setting whose value is out of range.
 void validateSettings(const Settings& settings);
 
-Settings readSettings(const json& o);  // throws InvalidInput naming the field
+// Reads and validates the settings. Field names are those of docs/ and of the simulator; spans are in
+// milliseconds. Throws InvalidInput that names the field.
+Settings readSettings(const json& object);
 
 }  // namespace delivery
--- a/tests/process/handover_compatibility_test.cpp
+++ b/tests/process/handover_compatibility_test.cpp
@@ -197,7 +197,7 @@
   const bool early = GetParam();  // the calls end before the newer process has the journal
   const std::vector<json> messages = jsonLines("messages.jsonl");
   const std::vector<std::string> lines = linesOf("older");
-  ASSERT_FALSE(absent(json::parse(lines.front()), "release"));
+  ASSERT_FALSE(isAbsent(json::parse(lines.front()), "release"));
 
   TempFolder folder;
   const std::string scratch = folder.path() + "-tmp";
@@ -229,7 +229,7 @@
     lock.letGo();
     do
       said.push_back(json::parse(link->line(), nullptr, false));
-    while (said.back().is_object() && absent(said.back(), "serving"));
+    while (said.back().is_object() && isAbsent(said.back(), "serving"));
     if (!early)
       for (std::size_t i = 1; i < lines.size(); ++i)
         link->send(lines[i]);
@@ -247,7 +247,7 @@
   std::map<std::string, json> ends;
   for (const std::string& l : lines) {
     const json message = json::parse(l);
-    if (absent(message, "outcome"))
+    if (isAbsent(message, "outcome"))
       continue;
     const json& o = message.at("outcome");
     const json& m = by_id.at(o.at("id"));
@@ -260,7 +260,7 @@
   EXPECT_EQ(callsIn(json::parse(lines.front()).at("release")).size(), ends.size());
   EXPECT_FALSE(waits.empty());
   const auto hear = [&](const json& message) {
-    if (!absent(message, "held") && !absent(message, "destination"))
+    if (!isAbsent(message, "held") && !isAbsent(message, "destination"))
       told.emplace(message.at("held").get<std::string>(), message.at("destination").get<std::int64_t>());
   };
   for (const json& message : said)
@@ -360,7 +360,7 @@
 TEST(RecordedNewer, IsHandedOverToByARealOlderProcess) {
   const std::vector<json> messages = jsonLines("messages.jsonl");
   std::vector<std::string> lines = linesOf("newer");
-  ASSERT_FALSE(absent(json::parse(lines.front()), "serving"));
+  ASSERT_FALSE(isAbsent(json::parse(lines.front()), "serving"));
 
   Gates gates;
   Server endpoint([&](const Seen& s) { return gates.act(s.field("X-Txn")); });
@@ -395,7 +395,7 @@
   OwnershipLock lock(folder.path());
   EXPECT_TRUE(eventually([&] { return lock.tryAcquire(); }));
   link.send(lines.front());  // it serves
-  ASSERT_TRUE(release.is_object() && !absent(release, "release")) << release.dump();
+  ASSERT_TRUE(release.is_object() && !isAbsent(release, "release")) << release.dump();
   const std::vector<std::string> recorded = linesOf("older");
   EXPECT_EQ(callsIn(json::parse(recorded.front()).at("release")), callsIn(release.at("release")));
 
@@ -403,7 +403,7 @@
   std::vector<json> expected, heard;
   for (const std::string& l : recorded) {
     json message = json::parse(l);
-    if (absent(message, "outcome"))
+    if (isAbsent(message, "outcome"))
       continue;
     json& o = message.at("outcome");
     EXPECT_EQ(o.at("id") == "expires", o.at("result") == kTimeout);
@@ -416,7 +416,7 @@
     for (;;) {
       const std::string l = link.line();
       json message = json::parse(l, nullptr, false);
-      if (!message.is_object() || absent(message, "outcome")) {
+      if (!message.is_object() || isAbsent(message, "outcome")) {
         ADD_FAILURE() << "no outcome of " << id << ": " << l;
         return false;
       }
@@ -429,7 +429,7 @@
         return true;
     }
   };
-  const auto isCancel = [](const std::string& l) { return !absent(json::parse(l), "cancel"); };
+  const auto isCancel = [](const std::string& l) { return !isAbsent(json::parse(l), "cancel"); };
   const auto sendAll = [&](bool cancels) {
     std::size_t n = 0;
     for (const std::string& l : lines)
