--- /dev/null
+++ b/src/process/active_role.cpp
@@ -0,0 +1,88 @@
+#include "process/active_role.h"
+
+#include "common/log.h"
+#include "network/listener.h"
+
+namespace delivery {
+
+namespace asio = boost::asio;
+
+namespace {
+
+// The socket that the platform holds open, so that no connection is refused during an upgrade; the configured
+// address if there is none or it can't be used.
+tcp::acceptor listenForClients(asio::io_context& io, const Configuration& configuration) {
+  if (configuration.passed_socket) {
+    try {
+      return listenOnPassed(io, *configuration.passed_socket);
+    } catch (const boost::system::system_error& error) {
+      logWarning("process", "passed_socket_unusable")
+          .field("reason", error.what())
+          .field("listening_at", configuration.listen);
+    }
+  }
+  return listenAt(io, parseAddress(configuration.listen));
+}
+
+DiscoveryClient discoveryClient(asio::io_context& io, const Configuration& configuration) {
+  return DiscoveryClient(io, parseAddress(configuration.discovery), configuration.discovery);
+}
+
+std::set<DecisionDriver::CallId> driverCalls(const std::set<CallId>& calls) {
+  std::set<DecisionDriver::CallId> converted;
+  for (const CallId& call : calls) {
+    converted.insert({call.message_id, call.attempt});
+  }
+  return converted;
+}
+
+}  // namespace
+
+ActiveRole::ActiveRole(asio::io_context& io, const Configuration& configuration, EndpointPool& endpoints,
+                       Connections& connections, const RecoveryOptions& recovery, Callbacks callbacks)
+    : recovery_started_at_(monotonicNow()),
+      journal_(configuration.state_folder, {configuration.disk_bytes, configuration.durable}),
+      notifier_(discoveryClient(io, configuration),
+                [this](const std::string& message_id) { driver_.onNoticeAcknowledged(message_id); }),
+      driver_(io, configuration.settings, configuration.seed, journal_, endpoints, notifier_,
+              [cancel_elsewhere = std::move(callbacks.cancel_elsewhere)](const DecisionDriver::CallId& call) {
+                cancel_elsewhere({call.first, call.second});
+              }),
+      watch_(discoveryClient(io, configuration), configuration.seed,
+             [this](const json& answer) { return driver_.onEndpointList(answer); }),
+      clients_(io, listenForClients(io, configuration), connections,
+               [this](AcceptedMessage message, ClientServer::Reply reply) {
+                 driver_.submit(std::move(message), std::move(reply));
+               }),
+      handover_listener_(io, configuration.scratch_folder, std::move(callbacks.on_successor)) {
+  driver_.recover(configuration.known_endpoints, driverCalls(recovery.calls_in_flight), recovery_started_at_,
+                  recovery.keep_retry_after);
+  watch_.start(driver_.endpointListIndex());
+}
+
+void ActiveRole::stepDown() {
+  handover_listener_.close();
+  clients_.stop();
+  driver_.stepDown();
+  watch_.stop();
+  notifier_.stop();
+}
+
+void ActiveRole::setDraining(bool draining) {
+  if (draining) {
+    clients_.startDraining();
+  } else {
+    clients_.stopDraining();
+  }
+}
+
+void ActiveRole::changeDiscovery(const tcp::endpoint& server, const std::string& host) {
+  watch_.changeServer(server, host);
+  notifier_.changeServer(server, host);
+}
+
+bool ActiveRole::idle() const {
+  return !hasUnansweredRequests() && notifier_.pending() == 0 && driver_.idle();
+}
+
+}  // namespace delivery
--- a/src/process/sender_process.h
+++ b/src/process/sender_process.h
@@ -1,14 +1,10 @@
-// One process of a sender, from start to end: it waits for the journal, serves, and hands over to
-// the process that replaces it. Wires the parts together; decides nothing about messages.
-//
-// Lines over the link, from the process that owned the journal: {"release":[[id,attempt],...]}, the calls it
-// still has out, the lock being free; {"outcome":{...}} for each as it ends. From the next: {"serving":true},
-// {"cancel":[id,attempt]}, and {"held":endpoint} for a drain or {"held":endpoint,"destination":7} for a wait
-// that it was told: what the older one has not written yet heeds them.
+// One process of a sender, from start to end: it acquires the ownership of the journal, serves, and hands
+// over to the process that replaces it. It wires the parts together and decides nothing about messages.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
+#include <functional>
 #include <memory>
 #include <optional>
 #include <set>
@@ -16,83 +12,94 @@
 #include <vector>
 
 #include "network/control_server.h"
-#include "process/decision_driver.h"
-#include "process/handover.h"
+#include "process/active_role.h"
+#include "process/configuration.h"
+#include "process/exit_condition.h"
+#include "process/handover_predecessor.h"
+#include "process/handover_successor.h"
+#include "process/operator_commands.h"
+#include "process/ownership_lock.h"
 
 namespace delivery {
 
-struct Config {
-  std::string listen, discovery;
-  std::string state, scratch;  // the folder that lasts, and the one that both processes see
-  std::string control;         // empty where operators have no address
-  int passed_socket = -1;      // the clients' listening socket, where the platform holds it
-  std::uint64_t seed = 0, disk_bytes = 0;
-  std::int64_t sockets = 0, memory_bytes = 0;
-  bool durable = false;  // what is taken on outlasts the machine, too
-  json known;
-  Settings settings;
-};
-
 class SenderProcess {
  public:
-  // `on_over`: this process has nothing left to do. Throws when the configuration can't be served.
-  SenderProcess(boost::asio::io_context& io, Config config, std::function<void()> on_over);
-  ~SenderProcess();
+  // Starts at once. `on_finished` is called when this process has nothing left to do. Throws InvalidInput,
+  // std::invalid_argument or std::runtime_error if the configuration can't be used.
+  SenderProcess(boost::asio::io_context& io, Configuration configuration, std::function<void()> on_finished);
   SenderProcess(const SenderProcess&) = delete;
   SenderProcess& operator=(const SenderProcess&) = delete;
 
-  void stop();                                       // SIGTERM: over once all is done, in 3.4 s at most
-  void followDiscovery(const std::string& address);  // throws std::invalid_argument
-  const std::string& discovery() const { return config_.discovery; }
-  // New limits: throws InvalidInput when they can't hold what is set aside; then the old ones stay.
-  void limit(std::int64_t sockets, std::int64_t memory_bytes);
+  // Graceful shutdown: finishes once nothing is held any more, after kShutdownTimeout at the latest.
+  void stop();
+
+  // Watches and notifies another discovery service from now on. Throws std::invalid_argument if it is no
+  // address.
+  void changeDiscovery(const std::string& address);
+  const std::string& discovery() const { return configuration_.discovery; }
+
+  // New limits. Throws InvalidInput if they are too small; then the old ones stay.
+  void changeLimits(std::int64_t sockets, std::int64_t memory_bytes);
 
  private:
-  struct ActiveRole;
-  using CallId = EndpointPool::CallId;
-
-  void look();
-  void waitForJournal();
-  void own();
-  bool done() const;
-  std::string operate(const std::string& call);
-  std::string notReady() const;  // why, or nothing
-  void outcome(AttemptOutcome o);
-
-  // As the older of two processes
-  void yieldTo(std::shared_ptr<HandoverLink> newer);
-  void release();
-  void onNewerEnd();
-  // As the newer of two
-  void onOlderMessage(const json& message);
-  void onOlderEnd();
-
-  Budget budget() const;
-  void changeBudget(const Budget& b);
+  OwnershipState ownershipState() const;
+  void advance();
+  void advanceOwnership();
+  void schedulePoll();
+  bool finished() const;
+
+  // Acquiring the ownership
+  void awaitOwnership();
+  void tryConnectToPredecessor();
+  void killHungOwner();
+  void becomeActive();
+  std::set<CallId> callsInFlightAnywhere() const;
+  std::unique_ptr<ActiveRole> createActiveRole();
+
+  // Handing it over
+  void onSuccessor(std::shared_ptr<HandoverLink> successor);
+  bool clientsAreDone() const;
+  void stepDown();
+  void onSuccessorLost();
+
+  // The predecessor
+  void onPredecessorOutcome(AttemptOutcome outcome);
+  void onPredecessorLost(const std::set<CallId>& lost_calls);
+
+  // The calls of this process
+  void onOutcome(AttemptOutcome outcome);
+  void onEndpointHeld(const std::string& endpoint, std::optional<std::int64_t> destination);
+
+  // Operators
+  Readiness readiness() const;
+  void setDraining(bool draining);
+
+  Budget computeBudget(std::int64_t sockets, std::int64_t memory_bytes) const;
+  void applyBudget(const Budget& budget);
 
   boost::asio::io_context& io_;
-  Config config_;
-  std::function<void()> on_over_;
+  Configuration configuration_;
+  std::function<void()> on_finished_;
   OwnershipLock lock_;
+  HandoverSuccessor successor_role_;  // towards the process that this one replaces
   Connections connections_;
   EndpointPool endpoints_;
+  HandoverPredecessor predecessor_role_;  // towards the process that replaces this one
   std::optional<ControlServer> control_;
-  boost::asio::steady_timer look_timer_;
-  std::unique_ptr<ActiveRole> serving_;               // while this process owns the journal
-  std::vector<std::unique_ptr<ActiveRole>> retired_;  // what may still have a handler queued, until the end
-  Micros stop_from_ = 0;
-  Micros waiting_from_ = 0;  // for the journal
-  bool operators_drain_ = false, looking_ = false, over_ = false;
-
-  std::shared_ptr<HandoverLink> older_;
-  bool older_released_ = false, replaces_ = false;  // replaces_: an older process served, or this one has
-  std::set<CallId> elsewhere_;                      // calls that the older process has out
-  std::vector<AttemptOutcome> early_;  // of those that ended before this process owned the journal
-
-  std::shared_ptr<HandoverLink> newer_;
-  bool newer_serves_ = false, handed_over_ = false;
-  Micros yield_from_ = 0, released_at_ = 0;
-  std::vector<AttemptOutcome> told_;  // to the newer process: if it dies, it may not have written them down
+  boost::asio::steady_timer poll_timer_;
+  std::unique_ptr<ActiveRole> active_role_;                // while this process owns the journal
+  std::vector<std::unique_ptr<ActiveRole>> former_roles_;  // until the event loop has ended, see ActiveRole
+
+  // Points on the monotonic clock
+  std::optional<Micros> stop_requested_at_;
+  Micros waiting_since_ = 0;  // for the ownership
+  Micros released_at_ = 0;    // while released
+
+  bool released_ = false;                   // this process had the ownership and released it
+  bool continues_earlier_process_ = false;  // a predecessor answered, or this process was active before
+  bool operators_drain_ = false;            // DRAIN was received, and no UNDRAIN since
+  bool poll_scheduled_ = false;
+  bool finished_ = false;
 };
 
 }  // namespace delivery
--- a/tests/process/handover_compatibility_test.cpp
+++ b/tests/process/handover_compatibility_test.cpp
@@ -8,7 +8,8 @@
 #include <fstream>
 #include <set>
 
-#include "process/handover.h"
+#include "process/ownership_lock.h"
+#include "protocol/json_fields.h"
 #include "storage/journal.h"
 #include "support/loopback.h"
 
