--- a/src/common/clocks.h
+++ b/src/common/clocks.h
@@ -1,4 +1,4 @@
-// The clocks, and the change of points in time between the monotonic clock and the disk.
+// The machine's clocks, and the conversion of points in time between the monotonic clock and stored records.
 #pragma once
 
 #include <string>
@@ -7,27 +7,36 @@
 
 namespace delivery {
 
-Micros monotonicNow();  // a clock that only goes forward, and goes on across processes until a reboot
-Micros unixNow();       // a clock that holds across reboots, and may step
+// A clock that never steps and goes on across processes until the machine reboots.
+Micros monotonicNow();
+// Unix time: it goes on across reboots, and may step when the machine's clock is set.
+Micros unixNow();
 
+// All clocks at one moment.
 struct Clocks {
-  Micros monotonic = 0, unix = 0;
-  std::string boot;  // names the time since the last reboot; empty: not known
+  Micros monotonic = 0;
+  Micros unix = 0;
+  std::string boot;  // identifies the time since the last reboot; empty if it is not known
 };
+
 Clocks readClocks();
 
-// Times on disk are monotonic ones, shifted so that they were Unix time when the shift was fixed. The shift
-// is carried on while the monotonic clock goes on; guards against a wall clock that steps.
+// Converts points on the monotonic clock to the form in which they are stored, and back. A stored point is
+// the monotonic one plus a shift, which is fixed when the first process after a reboot writes the journal:
+// stored points were Unix time at that moment. The shift is stored with them and used until the next reboot,
+// so that setting the machine's clock changes no deadline.
 class DiskClock {
  public:
   DiskClock() = default;
   explicit DiskClock(Micros shift) : shift_(shift) {}
-  static DiskClock of(const Clocks& c) { return DiskClock(c.unix - c.monotonic); }
+  static DiskClock of(const Clocks& clocks) { return DiskClock(clocks.unix - clocks.monotonic); }
+
   Micros shift() const { return shift_; }
+
   Micros toDisk(Micros monotonic) const { return monotonic + shift_; }
-  Micros fromDisk(Micros at) const { return at - shift_; }
-  Micros toDisk(Deadline d) const { return toDisk(d.at()); }
-  Deadline deadlineFromDisk(Micros at) const { return Deadline(fromDisk(at)); }
+  Micros toDisk(Deadline deadline) const { return toDisk(deadline.at()); }
+  Micros fromDisk(Micros stored) const { return stored - shift_; }
+  Deadline deadlineFromDisk(Micros stored) const { return Deadline(fromDisk(stored)); }
 
  private:
   Micros shift_ = 0;
--- a/src/common/deadline.h
+++ b/src/common/deadline.h
@@ -1,5 +1,4 @@
-// The point in time at which a message is given up. A type of its own, so that it is not taken for
-// a span or for a time of another clock; all that is done with one never prolongs it.
+// Points in time and spans, and the deadline of a message.
 #pragma once
 
 #include <algorithm>
@@ -7,24 +6,35 @@
 
 namespace delivery {
 
-using Micros = std::int64_t;  // a point in time or a span, in whole microseconds
+// A point in time or a span, in whole microseconds. Points are on the monotonic clock of clocks.h unless
+// their name says otherwise.
+using Micros = std::int64_t;
 
+// The point on the monotonic clock at which a message expires. A type of its own, so that it can't be
+// confused with a span or with a time of another clock. No operation prolongs it.
 class Deadline {
  public:
-  Deadline() = default;  // over
+  Deadline() = default;  // has passed
   explicit Deadline(Micros at) : at_(at) {}
-  // A span that a client names, from when its request began; far too large a one ends at the end of time.
+
+  // The end of a span that starts at `from`. A span that would overflow ends at the latest point that is
+  // used.
   static Deadline after(Micros from, Micros span) {
-    return Deadline(span > kEnd - std::max<Micros>(0, from) ? kEnd : from + span);
+    const Micros longest_span = kLatest - std::max<Micros>(0, from);
+    return Deadline(span > longest_span ? kLatest : from + span);
   }
 
   Micros at() const { return at_; }
-  Micros remaining(Micros now) const { return at_ - now; }  // negative: over
-  friend bool operator==(Deadline a, Deadline b) { return a.at_ == b.at_; }
-  friend bool operator<(Deadline a, Deadline b) { return a.at_ < b.at_; }
+  // Negative once the deadline has passed.
+  Micros remaining(Micros now) const { return at_ - now; }
+
+  friend bool operator==(Deadline left, Deadline right) { return left.at_ == right.at_; }
+  friend bool operator<(Deadline left, Deadline right) { return left.at_ < right.at_; }
 
  private:
-  static constexpr Micros kEnd = INT64_MAX / 4;
+  // Sums of a few points and spans below this do not overflow.
+  static constexpr Micros kLatest = INT64_MAX / 4;
+
   Micros at_ = 0;
 };
 
