--- /dev/null
+++ b/src/network/client_admission.cpp
@@ -0,0 +1,240 @@
+#include "network/client_admission.h"
+
+#include <algorithm>
+
+#include "network/client_eviction.h"
+#include "protocol/resp.h"
+
+namespace delivery {
+
+namespace {
+
+constexpr Micros kMicrosPerMs = 1000;
+// The platform wants a peer that sends no proper request answered or closed within 3 s of connecting, and
+// lets a connection without an open request be closed after 2 s.
+constexpr Micros kRequestTimeout = 2000 * kMicrosPerMs;        // until the first bytes of a request
+constexpr Micros kRestOfRequestTimeout = 1000 * kMicrosPerMs;  // from its first bytes to its last
+constexpr Micros kTakeReplyTimeout = 1000 * kMicrosPerMs;
+// A machine that vanished leaves its connections open and silent; live clients reconnect at no cost.
+constexpr Micros kIdleClientTimeout = 60'000 * kMicrosPerMs;
+constexpr Micros kDrainTimeout = 1000 * kMicrosPerMs;       // no connection outlasts the first 4 s of a drain
+constexpr Micros kGraceForUnreadInput = 20 * kMicrosPerMs;  // it is read in the next turn of the event loop
+constexpr Micros kFirstRequestInTransit = 100 * kMicrosPerMs;  // after connecting
+
+bool isReadFrom(const ClientConnection& connection) {
+  return connection.state == ClientState::awaiting_first_request ||
+         connection.state == ClientState::reading_request || connection.state == ClientState::idle;
+}
+
+}  // namespace
+
+ConnectionId ClientAdmission::onAccepted(const std::string& peer_address, Micros now) {
+  const ConnectionId id = ++last_id_;
+  ClientConnection& connection = clients_.connections[id];
+  connection.peer_address = peer_address;
+  connection.silent_since = now;
+  connection.peer = &clients_.peers[peer_address];
+  ++connection.peer->connections;
+  deadlines_.set(id, now + (is_draining_ ? kDrainTimeout : kRequestTimeout));
+  return id;
+}
+
+void ClientAdmission::setBufferedBytes(ClientConnection& connection, std::size_t bytes) {
+  pooled_bytes_ = pooled_bytes_ - pooledBytes(connection.buffered_bytes) + pooledBytes(bytes);
+  connection.peer->buffered_bytes = connection.peer->buffered_bytes - connection.buffered_bytes + bytes;
+  connection.buffered_bytes = bytes;
+}
+
+std::size_t ClientAdmission::readAllowance(ConnectionId id) {
+  ClientConnection& connection = clients_.connections.at(id);
+  if (connection.state == ClientState::discarding_input) {
+    return kUnpooledBytes;  // not buffered
+  }
+  const std::size_t buffered = connection.buffered_bytes;
+  const std::size_t pool_left =
+      budget_.max_pooled_bytes > pooled_bytes_ ? budget_.max_pooled_bytes - pooled_bytes_ : 0;
+  const std::size_t unpooled_left = buffered < kUnpooledBytes ? kUnpooledBytes - buffered : 0;
+  const std::size_t request_left = kLongestRequest - std::min(buffered, kLongestRequest);
+  const std::size_t allowance = std::min(request_left, pool_left + unpooled_left);
+  if (allowance == 0 && !connection.is_stalled) {
+    stalled_readers_.push_back(id);
+  }
+  connection.is_stalled = allowance == 0;
+  return allowance;
+}
+
+std::optional<ConnectionId> ClientAdmission::nextResumedReader() {
+  while (!stalled_readers_.empty()) {
+    const ConnectionId id = stalled_readers_.front();
+    const auto entry = clients_.connections.find(id);
+    const bool is_stalled = entry != clients_.connections.end() && entry->second.is_stalled;
+    if (is_stalled && pooled_bytes_ >= budget_.max_pooled_bytes) {
+      return std::nullopt;
+    }
+    stalled_readers_.pop_front();
+    if (is_stalled) {
+      entry->second.is_stalled = false;
+      return id;
+    }
+  }
+  return std::nullopt;
+}
+
+void ClientAdmission::onBytesReceived(ConnectionId id, std::size_t bytes, Micros now) {
+  ClientConnection& connection = clients_.connections.at(id);
+  connection.silent_since = now;
+  connection.has_unread_input = false;
+  if (connection.state != ClientState::discarding_input) {
+    setBufferedBytes(connection, connection.buffered_bytes + bytes);
+  }
+}
+
+// The deadline is not prolonged by bytes that arrive one by one, nor by a request that begins late.
+void ClientAdmission::onRequestPartial(ConnectionId id, Micros now) {
+  ClientConnection& connection = clients_.connections.at(id);
+  if (connection.state == ClientState::reading_request) {
+    return;
+  }
+  connection.state = ClientState::reading_request;
+  deadlines_.set(id, std::min(deadlines_.deadlineOf(id), now + kRestOfRequestTimeout));
+}
+
+// No deadline: a request is not closed unanswered, and its reply comes with the decision module's next turn.
+RequestTurn ClientAdmission::onRequestComplete(ConnectionId id, Micros now) {
+  ClientConnection& connection = clients_.connections.at(id);
+  connection.state = ClientState::awaiting_reply;
+  connection.silent_since = now;
+  connection.had_grace_read = false;
+  deadlines_.set(id, kNoDeadline);
+  if (open_requests_ >= budget_.max_open_requests) {
+    queued_requests_.push_back(id);
+    return RequestTurn::queued;
+  }
+  openRequest(connection);
+  return RequestTurn::now;
+}
+
+std::optional<ConnectionId> ClientAdmission::nextQueuedRequest() {
+  while (!queued_requests_.empty() && open_requests_ < budget_.max_open_requests) {
+    const ConnectionId id = queued_requests_.front();
+    queued_requests_.pop_front();
+    const auto entry = clients_.connections.find(id);
+    if (entry == clients_.connections.end()) {
+      continue;
+    }
+    openRequest(entry->second);
+    return id;
+  }
+  return std::nullopt;
+}
+
+void ClientAdmission::onRequestConsumed(ConnectionId id, std::size_t bytes_left_in_buffer) {
+  setBufferedBytes(clients_.connections.at(id), bytes_left_in_buffer);
+}
+
+void ClientAdmission::onReplyStarted(ConnectionId id, bool has_submitted, Micros now) {
+  ClientConnection& connection = clients_.connections.at(id);
+  connection.has_submitted = connection.has_submitted || has_submitted;
+  connection.has_been_answered = true;
+  deadlines_.set(id, now + kTakeReplyTimeout);
+}
+
+void ClientAdmission::openRequest(ClientConnection& connection) {
+  connection.has_open_request = true;
+  ++open_requests_;
+}
+
+void ClientAdmission::closeRequest(ClientConnection& connection) {
+  if (!connection.has_open_request) {
+    return;
+  }
+  connection.has_open_request = false;
+  --open_requests_;
+}
+
+AfterReply ClientAdmission::onReplyWritten(ConnectionId id, bool has_more_input, Micros now) {
+  ClientConnection& connection = clients_.connections.at(id);
+  closeRequest(connection);
+  connection.silent_since = now;
+  if (connection.state == ClientState::discarding_input) {
+    return AfterReply::keep_open;  // the deadline of its reply holds for the discarded input as well
+  }
+  connection.state = ClientState::idle;
+  deadlines_.set(id, now + (connection.has_submitted ? kIdleClientTimeout : kRequestTimeout));
+  return is_draining_ && !has_more_input ? AfterReply::close : AfterReply::keep_open;
+}
+
+void ClientAdmission::onRequestMalformed(ConnectionId id, Micros now) {
+  ClientConnection& connection = clients_.connections.at(id);
+  closeRequest(connection);
+  setBufferedBytes(connection, 0);
+  connection.state = ClientState::discarding_input;
+  deadlines_.set(id, now + kTakeReplyTimeout);
+}
+
+void ClientAdmission::onClosed(ConnectionId id) {
+  const auto entry = clients_.connections.find(id);
+  if (entry == clients_.connections.end()) {
+    return;
+  }
+  ClientConnection& connection = entry->second;
+  closeRequest(connection);
+  setBufferedBytes(connection, 0);
+  --connection.peer->connections;
+  if (connection.peer->connections == 0) {
+    clients_.peers.erase(connection.peer_address);
+  }
+  deadlines_.erase(id);
+  clients_.connections.erase(entry);
+}
+
+// The socket may hold a complete request, unread while this process was busy, which a close would lose. Once
+// for each request, so that bytes that arrive one by one prolong nothing.
+bool ClientAdmission::mayCloseOverdue(ConnectionId id, bool has_unread_input, Micros now) {
+  ClientConnection& connection = clients_.connections.at(id);
+  const bool has_grace_read =
+      isReadFrom(connection) && has_unread_input && !connection.is_stalled && !connection.had_grace_read;
+  if (!has_grace_read) {
+    return true;
+  }
+  connection.had_grace_read = true;
+  deadlines_.set(id, now + kGraceForUnreadInput);
+  return false;
+}
+
+std::optional<ConnectionId> ClientAdmission::evictionCandidate(Micros now) const {
+  return findEvictionCandidate(clients_, now);
+}
+
+std::optional<ConnectionId> ClientAdmission::bufferEvictionCandidate(Micros now) const {
+  return findBufferEvictionCandidate(clients_, now);
+}
+
+void ClientAdmission::onUnreadInput(ConnectionId id) {
+  clients_.connections.at(id).has_unread_input = true;
+}
+
+void ClientAdmission::onEvicted(ConnectionId id, Micros now) {
+  pressure_.onEvicted(clients_.connections.at(id).peer_address, now);
+}
+
+std::optional<PressureEvent> ClientAdmission::pollPressure(Micros now) {
+  return pressure_.poll({size(), budget_.max_clients, clients_.peers.size()}, now);
+}
+
+// A connection that was just accepted has its first request in transit: it is closed once that is answered.
+std::vector<ConnectionId> ClientAdmission::startDraining(Micros now) {
+  is_draining_ = true;
+  std::vector<ConnectionId> to_close;
+  for (const auto& [id, connection] : clients_.connections) {
+    const bool is_new = connection.state == ClientState::awaiting_first_request;
+    if (is_new && now - connection.silent_since < kFirstRequestInTransit) {
+      deadlines_.set(id, std::min(deadlines_.deadlineOf(id), now + kDrainTimeout));
+    } else if (is_new || connection.state == ClientState::idle) {
+      to_close.push_back(id);
+    }
+  }
+  return to_close;
+}
+
+}  // namespace delivery
--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -5,7 +5,6 @@
 #include <boost/asio/write.hpp>
 #include <chrono>
 #include <cstdlib>
-#include <iostream>
 #include <utility>
 #include <vector>
 
@@ -91,12 +90,12 @@
 }  // namespace
 
 struct ClientServer::Session : std::enable_shared_from_this<Session> {
-  Session(ClientServer& c, tcp::socket s, Connections::Id i, Micros came_after)
+  Session(ClientServer& c, tcp::socket s, ConnectionId i, Micros came_after)
       : clients(c), socket(std::move(s)), id(i), waiting(came_after) {}
 
   ClientServer& clients;
   tcp::socket socket;
-  const Connections::Id id;
+  const ConnectionId id;
   std::string in, out;
   std::size_t discarded = 0;
   QueueAge waiting;  // what is unread in the socket
@@ -118,7 +117,7 @@
   }
 
   void take() {
-    const std::size_t most = std::min(clients.rules_.mayRead(id), sizeof clients.piece_);
+    const std::size_t most = std::min(clients.admission_.readAllowance(id), sizeof clients.piece_);
     if (most == 0)
       return clients.lookLater();
     error_code e;
@@ -128,7 +127,7 @@
     if (e)
       return close();
     const Micros now = monotonicNow();
-    clients.rules_.received(id, n, now);
+    clients.admission_.onBytesReceived(id, n, now);
     if (hangs_up) {
       discarded += n;
       return discarded >= kDiscard ? close() : read();
@@ -148,17 +147,17 @@
     std::string error;
     const Parsed parsed = parseRequest(in, words, used, error);
     if (parsed == Parsed::partial) {
-      clients.rules_.partial(id, monotonicNow());
+      clients.admission_.onRequestPartial(id, monotonicNow());
       clients.watchDeadlines();
       return read();
     }
     if (parsed == Parsed::malformed) {
       std::string().swap(in);
-      clients.rules_.closing(id, monotonicNow());
+      clients.admission_.onRequestMalformed(id, monotonicNow());
       hangs_up = true;
       return write("-ERR " + error);
     }
-    if (clients.rules_.whole(id, monotonicNow()))
+    if (clients.admission_.onRequestComplete(id, monotonicNow()) == RequestTurn::now)
       carryOut(words, used);
   }
 
@@ -176,12 +175,12 @@
     in.erase(0, used);
     if (in.empty())
       in.shrink_to_fit();  // what rests holds no memory of what it once sent
-    clients.rules_.taken(id, in.size());
+    clients.admission_.onRequestConsumed(id, in.size());
     const std::string command = upper(words[0]);
     if (command == "PING" && words.size() > 1)
       return answer("-ERR wrong number of arguments");
     if (command == "PING")
-      return answer(clients.rules_.draining() ? "-ERR draining" : "+PONG");
+      return answer(clients.admission_.isDraining() ? "-ERR draining" : "+PONG");
     if (command != "MSG.PUT")
       return answer("-ERR unknown command");
     if (words.size() != 5)
@@ -207,7 +206,7 @@
   }
 
   void answer(const std::string& reply, bool useful = false) {
-    clients.rules_.answering(id, useful, monotonicNow());
+    clients.admission_.onReplyStarted(id, useful, monotonicNow());
     write(reply);
   }
 
@@ -222,8 +221,7 @@
       if (self->hangs_up)
         return self->hangUp();
       const bool more = !self->in.empty() || self->socket.available(e) > 0;
-      const bool stays = self->clients.rules_.answered(self->id, more, monotonicNow());
-      if (!stays)
+      if (self->clients.admission_.onReplyWritten(self->id, more, monotonicNow()) == AfterReply::close)
         return self->close();
       self->in.empty() ? self->read() : self->next();
       self->clients.serveWaiting();
@@ -248,8 +246,13 @@
   }
 };
 
-ClientServer::ClientServer(asio::io_context& io, tcp::acceptor acceptor, Connections& rules, OnPut on_put)
-    : acceptor_(std::move(acceptor)), look_(io), deadline_(io), rules_(rules), on_put_(std::move(on_put)) {
+ClientServer::ClientServer(asio::io_context& io, tcp::acceptor acceptor, ClientAdmission& admission,
+                           OnPut on_put)
+    : acceptor_(std::move(acceptor)),
+      look_(io),
+      deadline_(io),
+      admission_(admission),
+      on_put_(std::move(on_put)) {
   acceptor_.non_blocking(true);
   if (acceptPending())
     accept();
@@ -292,7 +295,7 @@
     if (e || paused_)
       return accept();  // one that was paused went on meanwhile
     queue_.seenFull(monotonicNow());
-    if (!rules_.clientFits() && !makeRoom(false))
+    if (!admission_.hasCapacity() && !makeRoom(false))
       return lookLater();
     if (acceptPending())
       accept();
@@ -301,7 +304,7 @@
 
 // Those that wait in the queue, as far as there is room. False: what came instead is to be tried again later.
 bool ClientServer::acceptPending() {
-  while (rules_.clientFits()) {
+  while (admission_.hasCapacity()) {
     tcp::socket s(acceptor_.get_executor());
     error_code e;
     acceptor_.accept(s, e);
@@ -332,7 +335,7 @@
   s.set_option(tcp::no_delay(true), e);
   s.non_blocking(true, e);
   const Micros now = monotonicNow();
-  const Connections::Id id = rules_.clientCame(peer.address().to_string(), now);
+  const ConnectionId id = admission_.onAccepted(peer.address().to_string(), now);
   const auto session = std::make_shared<Session>(*this, std::move(s), id, queue_.from(now));
   sessions_.emplace(id, session);
   watchDeadlines();
@@ -349,15 +352,14 @@
     looking_ = false;
     if (stopped)
       return;
-    if (rules_.readersWait())
+    if (admission_.hasStalledReaders())
       makeRoom(true);
-    while (rules_.tooMany() && makeRoom(false)) {
+    while (admission_.isOverCapacity() && makeRoom(false)) {
     }
     serveWaiting();
-    const std::string news = rules_.pressureNews(monotonicNow());
-    if (!news.empty())
-      std::cerr << news << '\n';
-    if (rules_.readersWait() || rules_.tooMany() || rules_.underPressure())
+    if (const auto event = admission_.pollPressure(monotonicNow()))
+      logPressureEvent(*event);
+    if (admission_.hasStalledReaders() || admission_.isOverCapacity() || admission_.isUnderPressure())
       lookLater();
     accept();
   });
@@ -367,12 +369,12 @@
 bool ClientServer::makeRoom(bool for_bytes) {
   for (int i = 0; i < kLooks; ++i) {
     const Micros now = monotonicNow();
-    const auto id = for_bytes ? rules_.nextToGoForBytes(now) : rules_.nextToGo(now);
+    const auto id = for_bytes ? admission_.bufferEvictionCandidate(now) : admission_.evictionCandidate(now);
     if (!id)
       break;
     if (unread(*id))
       continue;
-    rules_.madeRoom(*id, now);
+    admission_.onEvicted(*id, now);
     lookLater();
     sessions_.at(*id)->close();
     return true;
@@ -381,17 +383,17 @@
 }
 
 // It has sent something that was not read yet: it does not go now.
-bool ClientServer::unread(Connections::Id id) {
+bool ClientServer::unread(ConnectionId id) {
   error_code e;
   if (sessions_.at(id)->socket.available(e) == 0)
     return false;
-  rules_.unread(id);
+  admission_.onUnreadInput(id);
   return true;
 }
 
-void ClientServer::ended(Connections::Id id) {
+void ClientServer::ended(ConnectionId id) {
   sessions_.erase(id);
-  rules_.clientGone(id);
+  admission_.onClosed(id);
   serveWaiting();
   accept();
 }
@@ -400,15 +402,15 @@
   if (serving_)
     return;
   serving_ = true;
-  while (const auto id = rules_.nextTurn())
+  while (const auto id = admission_.nextQueuedRequest())
     sessions_.at(*id)->turn();
-  while (const auto id = rules_.nextReader())
+  while (const auto id = admission_.nextResumedReader())
     sessions_.at(*id)->take();
   serving_ = false;
 }
 
 void ClientServer::watchDeadlines() {
-  const Micros next = rules_.nextClientDeadline();
+  const Micros next = admission_.nextDeadline();
   if (next >= watched_)
     return;  // the timer looks earlier
   watched_ = next;
@@ -416,14 +418,14 @@
   deadline_.async_wait([this](error_code stopped) {
     if (stopped)
       return;
-    watched_ = Connections::kNever;
+    watched_ = kNoDeadline;
     const Micros now = monotonicNow();
-    for (const Connections::Id id : rules_.overdueClients(now)) {
+    for (const ConnectionId id : admission_.overdue(now)) {
       const auto it = sessions_.find(id);
       if (it == sessions_.end())
         continue;
       error_code none;
-      if (rules_.endsOverdue(id, it->second->socket.available(none) > 0, now))
+      if (admission_.mayCloseOverdue(id, it->second->socket.available(none) > 0, now))
         it->second->close();
     }
     watchDeadlines();
@@ -431,14 +433,14 @@
 }
 
 void ClientServer::applyBudget() {
-  if (rules_.tooMany())
+  if (admission_.isOverCapacity())
     lookLater();
   serveWaiting();
   accept();
 }
 
 void ClientServer::startDraining() {
-  for (const Connections::Id id : rules_.drain(monotonicNow()))
+  for (const ConnectionId id : admission_.startDraining(monotonicNow()))
     if (!unread(id))
       sessions_.at(id)->close();
   watchDeadlines();
--- /dev/null
+++ b/src/network/control_admission.h
@@ -0,0 +1,30 @@
+// Admission of connections at the control address: how many there may be, and for how long.
+#pragma once
+
+#include <cstddef>
+#include <optional>
+#include <set>
+#include <vector>
+
+#include "network/deadline_table.h"
+
+namespace delivery {
+
+class ControlAdmission {
+ public:
+  // The connection to close before one more is accepted, if all places are taken: the oldest.
+  std::optional<ConnectionId> evictionCandidate() const;
+  ConnectionId onAccepted(Micros now);
+  void onClosed(ConnectionId id);
+
+  std::vector<ConnectionId> overdue(Micros now) const { return deadlines_.overdue(now); }
+  Micros nextDeadline() const { return deadlines_.next(); }
+  std::size_t size() const { return connections_.size(); }
+
+ private:
+  ConnectionId last_id_ = 0;
+  std::set<ConnectionId> connections_;
+  DeadlineTable deadlines_;
+};
+
+}  // namespace delivery
--- a/src/network/control_server.cpp
+++ b/src/network/control_server.cpp
@@ -19,11 +19,11 @@
 }  // namespace
 
 struct ControlServer::Session : std::enable_shared_from_this<Session> {
-  Session(ControlServer& c, tcp::socket s, Connections::Id i) : control(c), socket(std::move(s)), id(i) {}
+  Session(ControlServer& c, tcp::socket s, ConnectionId i) : control(c), socket(std::move(s)), id(i) {}
 
   ControlServer& control;
   tcp::socket socket;
-  const Connections::Id id;
+  const ConnectionId id;
   std::string in, out;
   char piece[256];
   bool open = true;
@@ -76,15 +76,15 @@
   }
   void end() {
     open = false;
-    control.rules_.callerGone(id);
+    control.admission_.onClosed(id);
     error_code ignored;
     socket.close(ignored);
   }
 };
 
-ControlServer::ControlServer(asio::io_context& io, const tcp::endpoint& listen, Connections& rules,
+ControlServer::ControlServer(asio::io_context& io, const tcp::endpoint& listen, ControlAdmission& admission,
                              OnCall on_call)
-    : acceptor_(io, listen), pause_(io), deadline_(io), rules_(rules), on_call_(std::move(on_call)) {
+    : acceptor_(io, listen), pause_(io), deadline_(io), admission_(admission), on_call_(std::move(on_call)) {
   accept();
 }
 
@@ -107,9 +107,9 @@
       return;
     }
     if (!e) {
-      if (const auto oldest = rules_.callerToGo())
+      if (const auto oldest = admission_.evictionCandidate())
         sessions_.at(*oldest)->close();
-      const Connections::Id id = rules_.callerCame(monotonicNow());
+      const ConnectionId id = admission_.onAccepted(monotonicNow());
       const auto session = sessions_.emplace(id, std::make_shared<Session>(*this, std::move(s), id)).first;
       session->second->read();
       watchDeadlines();
@@ -119,8 +119,8 @@
 }
 
 void ControlServer::watchDeadlines() {
-  const Micros next = rules_.nextCallerDeadline();
-  if (watching_ || next == Connections::kNever)
+  const Micros next = admission_.nextDeadline();
+  if (watching_ || next == kNoDeadline)
     return;
   watching_ = true;
   deadline_.expires_after(std::chrono::microseconds(std::max<Micros>(0, next - monotonicNow())));
@@ -128,7 +128,7 @@
     if (stopped)
       return;
     watching_ = false;
-    for (const Connections::Id id : rules_.overdueCallers(monotonicNow())) {
+    for (const ConnectionId id : admission_.overdue(monotonicNow())) {
       const auto it = sessions_.find(id);
       if (it != sessions_.end())
         it->second->close();
--- a/src/network/control_server.h
+++ b/src/network/control_server.h
@@ -1,5 +1,5 @@
 // The server for operators: one line a connection, one reply line that begins with OK or ERR. Who
-// is let in and for how long is told by Connections.
+// is accepted and for how long is decided by ControlAdmission.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,7 +10,7 @@
 #include <memory>
 #include <string>
 
-#include "network/connections.h"
+#include "network/control_admission.h"
 
 namespace delivery {
 
@@ -18,7 +18,8 @@
  public:
   using OnCall = std::function<std::string(const std::string& line)>;  // the reply, without its end
 
-  ControlServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Connections& rules,
+  ControlServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
+                ControlAdmission& admission,
                 OnCall on_call);  // throws when it can't listen
   ~ControlServer();
   ControlServer(const ControlServer&) = delete;
@@ -31,9 +32,9 @@
 
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer pause_, deadline_;
-  Connections& rules_;
+  ControlAdmission& admission_;
   OnCall on_call_;
-  std::map<Connections::Id, std::shared_ptr<Session>> sessions_;
+  std::map<ConnectionId, std::shared_ptr<Session>> sessions_;
   bool watching_ = false;
 };
 
--- a/src/network/endpoint_pool.cpp
+++ b/src/network/endpoint_pool.cpp
@@ -74,11 +74,11 @@
 
 }  // namespace
 
-EndpointPool::EndpointPool(asio::io_context& io, Limits limits, Connections& rules, OnOutcome on_outcome,
-                           OnHeld on_held)
+EndpointPool::EndpointPool(asio::io_context& io, Limits limits, EndpointConnectionAccounting& accounting,
+                           OnOutcome on_outcome, OnHeld on_held)
     : io_(io),
       limits_(limits),
-      rules_(rules),
+      accounting_(accounting),
       on_outcome_(std::move(on_outcome)),
       on_held_(std::move(on_held)),
       sweeper_(io) {}
@@ -111,10 +111,10 @@
   while (!idle.empty() && !call.connection) {  // the freshest first
     if (idle.back().connection->reusable()) {
       call.connection = std::move(idle.back().connection);
-      rules_.reused(call.endpoint);
+      accounting_.onReused(call.endpoint);
       call.on = Call::On::open;
     } else {
-      rules_.idleClosed(call.endpoint);
+      accounting_.onIdleClosed(call.endpoint);
     }
     idle.pop_back();
   }
@@ -122,9 +122,9 @@
   HttpConnection::Heard heard;
   heard.head = [this, id](const HttpAnswer& a) { onResponseHead(id, a); };
   if (!call.connection) {
-    if (const auto other = rules_.idleToCloseFor(call.endpoint))
+    if (const auto other = accounting_.evictionCandidateToOpen(call.endpoint))
       closeOldest(*other);
-    if (!rules_.mayOpen(call.endpoint))
+    if (!accounting_.canOpen(call.endpoint))
       return false;
     try {
       call.connection =
@@ -134,11 +134,11 @@
       calls_.erase(id);
       return true;
     }
-    rules_.opening(call.endpoint);
+    accounting_.onOpening(call.endpoint);
     call.on = Call::On::opening;
     heard.connected = [this, id] {
       Call& c = calls_.at(id);
-      rules_.opened(c.endpoint);
+      accounting_.onOpened(c.endpoint);
       c.on = Call::On::open;
       startWaiting();
     };
@@ -228,9 +228,9 @@
 
 void EndpointPool::releaseConnection(Call& call) {
   if (call.on == Call::On::opening)
-    rules_.failedToOpen(call.endpoint);
+    accounting_.onOpenFailed(call.endpoint);
   if (call.on == Call::On::open)
-    rules_.callClosed(call.endpoint);
+    accounting_.onClosed(call.endpoint);
   call.on = Call::On::none;
 }
 
@@ -330,7 +330,7 @@
 
 void EndpointPool::closeAllIdle() {
   for (const auto& [endpoint, idle] : idle_)
-    rules_.idleClosed(endpoint, idle.size());
+    accounting_.onIdleClosed(endpoint, idle.size());
   idle_.clear();
 }
 
@@ -338,17 +338,17 @@
   auto it = idle_.find(endpoint);
   if (it == idle_.end())
     return;
-  rules_.idleClosed(endpoint, it->second.size());
+  accounting_.onIdleClosed(endpoint, it->second.size());
   idle_.erase(it);
 }
 
 void EndpointPool::closeOldest(const std::string& endpoint) {
   idle_.at(endpoint).pop_front();
-  rules_.idleClosed(endpoint);
+  accounting_.onIdleClosed(endpoint);
 }
 
 void EndpointPool::applyBudget() {
-  while (const auto endpoint = rules_.idleTooMany())
+  while (const auto endpoint = accounting_.excessIdleCandidate())
     closeOldest(*endpoint);
   startWaiting();
 }
@@ -356,13 +356,13 @@
 void EndpointPool::keep(Call& call) {
   if (!call.connection->reusable() || call.address != peers_[call.endpoint].address)
     return;
-  if (!rules_.mayKeep()) {
-    const auto other = rules_.idleToGo(call.endpoint);
+  if (!accounting_.canKeepIdle()) {
+    const auto other = accounting_.idleEvictionCandidate(call.endpoint);
     if (!other)
       return;
     closeOldest(*other);
   }
-  rules_.kept(call.endpoint);
+  accounting_.onIdle(call.endpoint);
   call.on = Call::On::none;
   idle_[call.endpoint].push_back({std::move(call.connection), monotonicNow()});
   sweep();
--- a/src/network/endpoint_pool.h
+++ b/src/network/endpoint_pool.h
@@ -1,5 +1,6 @@
 // Calls to endpoints: the connection pool, and the outcome of each call. No policy: when a call
-// is made and how long it may take is told by the module, how many connections there may be by Connections.
+// is made and how long it may take is told by the module, how many connections there may be by
+// EndpointConnectionAccounting.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -11,7 +12,7 @@
 #include <set>
 
 #include "common/clocks.h"
-#include "network/connections.h"
+#include "network/endpoint_connection_accounting.h"
 #include "network/http_connection.h"
 #include "storage/journal.h"
 
@@ -26,8 +27,8 @@
   };
   // A wait was told, or a drain, where no destination is named: another process may have calls there, too.
   using OnHeld = std::function<void(const std::string& endpoint, std::optional<std::int64_t> destination)>;
-  EndpointPool(boost::asio::io_context& io, Limits limits, Connections& rules, OnOutcome on_outcome,
-               OnHeld on_held = {});
+  EndpointPool(boost::asio::io_context& io, Limits limits, EndpointConnectionAccounting& accounting,
+               OnOutcome on_outcome, OnHeld on_held = {});
 
   // As listed, new or changed. `apart`: a route of its own, which no wait of another route holds for.
   void setAddress(const std::string& endpoint, const std::string& address, bool apart = false);
@@ -45,7 +46,7 @@
   std::vector<CallId> callsInFlight() const;  // those out, or with an outcome that is still to be told
   void applyBudget();
   std::size_t inFlightCount() const { return calls_.size() + untold_.size(); }
-  std::size_t idle() const { return rules_.idleCalls(); }
+  std::size_t idle() const { return accounting_.idleCount(); }
 
  private:
   struct Idle {
@@ -82,7 +83,7 @@
 
   boost::asio::io_context& io_;
   Limits limits_;
-  Connections& rules_;
+  EndpointConnectionAccounting& accounting_;
   OnOutcome on_outcome_;
   OnHeld on_held_;
   std::map<std::string, Peer> peers_;             // by endpoint
--- a/src/process/active_role.cpp
+++ b/src/process/active_role.cpp
@@ -39,7 +39,7 @@
 }  // namespace
 
 ActiveRole::ActiveRole(asio::io_context& io, const Configuration& configuration, EndpointPool& endpoints,
-                       Connections& connections, const RecoveryOptions& recovery, Callbacks callbacks)
+                       ClientAdmission& admission, const RecoveryOptions& recovery, Callbacks callbacks)
     : recovery_started_at_(monotonicNow()),
       journal_(configuration.state_folder, {configuration.disk_bytes, configuration.durable}),
       notifier_(discoveryClient(io, configuration),
@@ -50,7 +50,7 @@
               }),
       watch_(discoveryClient(io, configuration), configuration.seed,
              [this](const json& answer) { return driver_.onEndpointList(answer); }),
-      clients_(io, listenForClients(io, configuration), connections,
+      clients_(io, listenForClients(io, configuration), admission,
                [this](AcceptedMessage message, ClientServer::Reply reply) {
                  driver_.submit(std::move(message), std::move(reply));
                }),
--- a/src/process/active_role.h
+++ b/src/process/active_role.h
@@ -38,7 +38,7 @@
   // Throws std::runtime_error or boost::system::system_error if the journal can't be opened or the clients'
   // address can't be listened on.
   ActiveRole(boost::asio::io_context& io, const Configuration& configuration, EndpointPool& endpoints,
-             Connections& connections, const RecoveryOptions& recovery, Callbacks callbacks);
+             ClientAdmission& admission, const RecoveryOptions& recovery, Callbacks callbacks);
   ActiveRole(const ActiveRole&) = delete;
   ActiveRole& operator=(const ActiveRole&) = delete;
 
--- a/src/process/sender_process.cpp
+++ b/src/process/sender_process.cpp
@@ -37,16 +37,17 @@
       connections_(computeBudget(configuration_.sockets, configuration_.memory_bytes)),
       endpoints_(
           io, {configuration_.settings.connect_timeout, configuration_.settings.connection_idle_timeout},
-          connections_, [this](AttemptOutcome outcome) { onOutcome(std::move(outcome)); },
+          connections_.endpoints, [this](AttemptOutcome outcome) { onOutcome(std::move(outcome)); },
           [this](const std::string& endpoint, std::optional<std::int64_t> destination) {
             onEndpointHeld(endpoint, destination);
           }),
       predecessor_role_(endpoints_, [this] { onSuccessorLost(); }),
       poll_timer_(io) {
   if (!configuration_.control.empty()) {
-    control_.emplace(io, parseAddress(configuration_.control), connections_, [this](const std::string& line) {
-      return executeOperatorCommand(line, readiness(), [this](bool draining) { setDraining(draining); });
-    });
+    control_.emplace(
+        io, parseAddress(configuration_.control), connections_.control, [this](const std::string& line) {
+          return executeOperatorCommand(line, readiness(), [this](bool draining) { setDraining(draining); });
+        });
   }
   // Both are used once this process owns the journal; an address that is wrong has to show at the start.
   parseAddress(configuration_.discovery);
@@ -186,7 +187,7 @@
 
 std::unique_ptr<ActiveRole> SenderProcess::createActiveRole() {
   return std::make_unique<ActiveRole>(
-      io_, configuration_, endpoints_, connections_,
+      io_, configuration_, endpoints_, connections_.clients,
       ActiveRole::RecoveryOptions{callsInFlightAnywhere(), continues_earlier_process_},
       ActiveRole::Callbacks{
           [this](const CallId& call) { successor_role_.cancelCall(call); },
@@ -338,13 +339,13 @@
 }
 
 // A predecessor that only ends its calls shares the descriptors with this process.
-Budget SenderProcess::computeBudget(std::int64_t sockets, std::int64_t memory_bytes) const {
-  return budgetOf({sockets, memory_bytes, configuration_.settings.call_slots},
-                  successor_role_.hasPredecessor());
+DescriptorBudget SenderProcess::computeBudget(std::int64_t sockets, std::int64_t memory_bytes) const {
+  return computeDescriptorBudget({sockets, memory_bytes, configuration_.settings.call_slots},
+                                 successor_role_.hasPredecessor());
 }
 
 void SenderProcess::changeLimits(std::int64_t sockets, std::int64_t memory_bytes) {
-  const Budget budget = computeBudget(sockets, memory_bytes);
+  const DescriptorBudget budget = computeBudget(sockets, memory_bytes);
   if (sockets == configuration_.sockets && memory_bytes == configuration_.memory_bytes) {
     return;
   }
@@ -353,12 +354,12 @@
   logInfo("configuration", "limits_changed")
       .field("sockets", sockets)
       .field("memory_mb", memory_bytes / kBytesPerMegabyte)
-      .field("max_clients", budget.clients)
-      .field("max_idle_endpoint_connections", budget.idle_calls);
+      .field("max_clients", budget.max_clients)
+      .field("max_idle_endpoint_connections", budget.max_idle_connections);
   applyBudget(budget);
 }
 
-void SenderProcess::applyBudget(const Budget& budget) {
+void SenderProcess::applyBudget(const DescriptorBudget& budget) {
   connections_.setBudget(budget);
   endpoints_.applyBudget();
   if (active_role_) {
--- a/src/process/sender_process.h
+++ b/src/process/sender_process.h
@@ -11,6 +11,7 @@
 #include <string>
 #include <vector>
 
+#include "network/connection_admission.h"
 #include "network/control_server.h"
 #include "process/active_role.h"
 #include "process/configuration.h"
@@ -74,15 +75,15 @@
   Readiness readiness() const;
   void setDraining(bool draining);
 
-  Budget computeBudget(std::int64_t sockets, std::int64_t memory_bytes) const;
-  void applyBudget(const Budget& budget);
+  DescriptorBudget computeBudget(std::int64_t sockets, std::int64_t memory_bytes) const;
+  void applyBudget(const DescriptorBudget& budget);
 
   boost::asio::io_context& io_;
   Configuration configuration_;
   std::function<void()> on_finished_;
   OwnershipLock lock_;
   HandoverSuccessor successor_role_;  // towards the process that this one replaces
-  Connections connections_;
+  ConnectionAdmission connections_;
   EndpointPool endpoints_;
   HandoverPredecessor predecessor_role_;  // towards the process that replaces this one
   std::optional<ControlServer> control_;
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -19,20 +19,20 @@
 
 // The server for clients with a table of its own; the test turns the loop.
 struct Served {
-  explicit Served(std::int64_t places) : rules(budgetFor(places)) {
+  explicit Served(std::int64_t places) : admission(budgetFor(places)) {
     auto acceptor = listenAt(io, {boost::asio::ip::address_v4::loopback(), 0});
     port = acceptor.local_endpoint().port();
-    clients = std::make_unique<ClientServer>(io, std::move(acceptor), rules,
+    clients = std::make_unique<ClientServer>(io, std::move(acceptor), admission,
                                              [this](AcceptedMessage m, ClientServer::Reply reply) {
                                                taken = std::move(m);
                                                reply("+OK");
                                              });
   }
-  static Budget budgetFor(std::int64_t places) {
-    Budget b;
-    b.clients = b.requests = places;
-    b.buffered = kLongestRequest;
-    return b;
+  static DescriptorBudget budgetFor(std::int64_t places) {
+    DescriptorBudget budget;
+    budget.max_clients = budget.max_open_requests = places;
+    budget.max_pooled_bytes = kLongestRequest;
+    return budget;
   }
   void turnUntil(const std::function<bool()>& holds) {
     while (!holds())
@@ -40,7 +40,7 @@
   }
 
   boost::asio::io_context io;
-  Connections rules;
+  ClientAdmission admission;
   int port = 0;
   std::optional<AcceptedMessage> taken;
   std::unique_ptr<ClientServer> clients;
@@ -71,7 +71,7 @@
   loopback::Client client(s.port);
   s.turnUntil([&] { return s.clients->connectionCount() == 1; });
   s.io.poll();
-  const Micros deadline = s.rules.nextClientDeadline();
+  const Micros deadline = s.admission.nextDeadline();
   boost::asio::steady_timer just_before(s.io);
   just_before.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(deadline - 1)));
   just_before.async_wait([&](const boost::system::error_code&) { client.send(kPut); });
@@ -79,7 +79,7 @@
   }  // busy: the loop does not turn
   s.turnUntil([&] { return s.taken || s.clients->connectionCount() == 0; });
   EXPECT_TRUE(s.taken) << "closed with its request unread";
-  s.turnUntil([&] { return s.rules.nextClientDeadline() > deadline + 30'000 * kMs; });
+  s.turnUntil([&] { return s.admission.nextDeadline() > deadline + 30'000 * kMs; });
   EXPECT_EQ("+OK", client.line());
 }
 
@@ -108,7 +108,7 @@
   while (monotonicNow() < silent_from + 50 * kMs) {
   }  // busy: the loop does not turn
   first.send(kPut);
-  s.turnUntil([&] { return s.taken || s.rules.underPressure(); });
+  s.turnUntil([&] { return s.taken || s.admission.isUnderPressure(); });
   EXPECT_TRUE(s.taken) << "closed with its request unread";
   EXPECT_EQ(1u, s.clients->connectionCount());
 }
@@ -123,7 +123,7 @@
   while (monotonicNow() < silent_from + 50 * kMs) {
   }  // busy: the loop does not turn
   rests.send(kPut);
-  s.rules.setBudget(Served::budgetFor(1));
+  s.admission.setBudget(Served::budgetFor(1));
   s.clients->applyBudget();
   s.turnUntil([&] { return s.clients->connectionCount() == 1; });
   s.turnUntil([&] { return s.taken || s.clients->connectionCount() == 0; });
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -24,9 +24,9 @@
           outcomes.push_back(std::move(o));
         }) {}
 
-  static Budget budget() {
-    Budget b = budgetOf({256, 32'000'000, 8}, false);
-    b.handshakes = 2;
+  static DescriptorBudget budget() {
+    DescriptorBudget b = computeDescriptorBudget({256, 32'000'000, 8}, false);
+    b.max_handshakes_per_endpoint = 2;
     return b;
   }
   AcceptedMessage message(const std::string& id) {
@@ -54,7 +54,7 @@
 
   boost::asio::io_context io;
   std::vector<AttemptOutcome> outcomes;
-  Connections connections;
+  EndpointConnectionAccounting connections;
   EndpointPool endpoints;
 };
 
@@ -363,11 +363,11 @@
   for (int i = 0; i < 8; ++i)
     p.endpoints.startCall(p.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
   EXPECT_EQ(8u, p.endpoints.inFlightCount());
-  EXPECT_EQ(2, p.connections.callConnections());
+  EXPECT_EQ(2, p.connections.connectionCount());
   p.waitFor(8);
   for (const AttemptOutcome& o : p.outcomes)
     EXPECT_EQ(AttemptResult::connect_failed, o.result);
-  EXPECT_EQ(0, p.connections.callConnections());
+  EXPECT_EQ(0, p.connections.connectionCount());
 }
 
 // Those that wait go one after the other, on what is free by then, and each is written once.
@@ -385,7 +385,7 @@
   EXPECT_EQ(8u, s.seen().size());
   for (const AttemptOutcome& o : p.outcomes)
     EXPECT_EQ(AttemptResult::ok, o.result);
-  EXPECT_EQ(static_cast<std::int64_t>(p.endpoints.idle()), p.connections.callConnections());
+  EXPECT_EQ(static_cast<std::int64_t>(p.endpoints.idle()), p.connections.connectionCount());
 }
 
 // A wait that a destination tells, and a drain, hold for calls that wait for a connection and for those whose
@@ -407,7 +407,7 @@
     for (const AttemptOutcome& o : p.outcomes)
       EXPECT_EQ(o.id == "told" ? AttemptResult::throttled : AttemptResult::not_sent, o.result) << o.id;
     EXPECT_EQ(0u, p.endpoints.inFlightCount());
-    EXPECT_EQ(drain ? 0 : 1, p.connections.callConnections());
+    EXPECT_EQ(drain ? 0 : 1, p.connections.connectionCount());
   }
 }
 
@@ -507,7 +507,7 @@
     p.io.run_one_for(std::chrono::milliseconds(1));
   p.endpoints.onEndpointDraining("e");
   EXPECT_EQ(AttemptResult::not_sent, p.waitFor(1).result);
-  EXPECT_EQ(0, p.connections.callConnections());
+  EXPECT_EQ(0, p.connections.connectionCount());
   ::close(fd);
 }
 
@@ -544,8 +544,8 @@
 TEST(EndpointPool, TheLongestRowOfIdleConnectionsMakesRoom) {
   Server s([](const Seen&) { return Act{answer("200 OK")}; });
   Pool p;
-  Budget b = Pool::budget();
-  b.idle_calls = 3;
+  DescriptorBudget b = Pool::budget();
+  b.max_idle_connections = 3;
   p.connections.setBudget(b);
   p.endpoints.setAddress("e", s.address());
   p.endpoints.setAddress("f", s.address());
--- /dev/null
+++ b/tests/support/connection_fixture.h
@@ -0,0 +1,37 @@
+// Helpers for the tests of the admission of connections, on made-up time.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "network/client_admission.h"
+
+namespace delivery {
+
+constexpr Micros kMs = 1000;
+constexpr Micros kSecond = 1000 * kMs;
+
+inline DescriptorBudget smallBudget(std::int64_t max_clients, std::int64_t max_open_requests = 100) {
+  DescriptorBudget budget;
+  budget.max_clients = max_clients;
+  budget.max_open_requests = max_open_requests;
+  budget.max_endpoint_connections = 12;
+  budget.max_idle_connections = 4;
+  budget.max_handshakes_per_endpoint = 2;
+  budget.max_pooled_bytes = 200'000;
+  return budget;
+}
+
+// A connection that has submitted a message and is idle.
+inline ConnectionId submittedAndIdle(ClientAdmission& clients, const std::string& peer, Micros now) {
+  const ConnectionId id = clients.onAccepted(peer, now);
+  clients.onBytesReceived(id, 100, now);
+  EXPECT_EQ(RequestTurn::now, clients.onRequestComplete(id, now));
+  clients.onRequestConsumed(id, 0);
+  clients.onReplyStarted(id, true, now);
+  EXPECT_EQ(AfterReply::keep_open, clients.onReplyWritten(id, false, now));
+  return id;
+}
+
+}  // namespace delivery
