--- a/src/network/endpoint_pool.cpp
+++ b/src/network/endpoint_pool.cpp
@@ -247,8 +247,8 @@
     return;
   }
   AttemptOutcome o;
-  o.id = id.first;
-  o.attempt = id.second;
+  o.id = id.message_id;
+  o.attempt = id.attempt;
   o.result = resultOf(answer);
   if (o.result == AttemptResult::timeout && it->second.called_off)
     o.result = AttemptResult::cancelled;
@@ -282,8 +282,8 @@
   it->second.wait_heard = true;
   onRetryAfter(it->second.endpoint, it->second.destination);
   AttemptOutcome o;
-  o.id = id.first;
-  o.attempt = id.second;
+  o.id = id.message_id;
+  o.attempt = id.attempt;
   o.still_in_flight = true;
   o.retry_after = wait;
   on_outcome_(std::move(o));
@@ -294,8 +294,8 @@
   asio::post(io_, [this, id, result, began] {
     untold_.erase(id);
     AttemptOutcome o;
-    o.id = id.first;
-    o.attempt = id.second;
+    o.id = id.message_id;
+    o.attempt = id.attempt;
     o.result = result;
     o.round_trip_time = std::max<Micros>(1, monotonicNow() - began);
     on_outcome_(std::move(o));
@@ -303,10 +303,10 @@
 }
 
 // What has been written may have been answered: its connection tells that before it is closed.
-bool EndpointPool::cancel(const std::string& id, int attempt) {
-  auto it = calls_.find({id, attempt});
+bool EndpointPool::cancel(const CallId& id) {
+  auto it = calls_.find(id);
   if (it == calls_.end())
-    return untold_.count({id, attempt}) > 0;
+    return untold_.count(id) > 0;
   Call& call = it->second;
   if (call.connection && call.connection->requestWritten()) {
     call.called_off = true;
@@ -320,7 +320,7 @@
   return true;
 }
 
-std::vector<EndpointPool::CallId> EndpointPool::callsInFlight() const {
+std::vector<CallId> EndpointPool::callsInFlight() const {
   std::vector<CallId> out;
   for (const auto& [id, call] : calls_)
     out.push_back(id);
--- a/src/network/endpoint_pool.h
+++ b/src/network/endpoint_pool.h
@@ -11,6 +11,7 @@
 #include <optional>
 #include <set>
 
+#include "common/call_id.h"
 #include "common/clocks.h"
 #include "network/endpoint_connection_accounting.h"
 #include "network/http_connection.h"
@@ -20,7 +21,6 @@
 
 class EndpointPool {
  public:
-  using CallId = std::pair<std::string, int>;  // message and attempt
   using OnOutcome = std::function<void(AttemptOutcome)>;
   struct Limits {
     Micros dial_timeout = 0, conn_idle = 0;
@@ -35,7 +35,7 @@
   // `until`: no answer is waited for any longer, connecting included.
   void startCall(const AcceptedMessage& m, int attempt, const std::string& endpoint, Deadline until);
   // False: no such call is out from here. What its answer has told by then still counts.
-  bool cancel(const std::string& id, int attempt);
+  bool cancel(const CallId& id);
   void closeIdle(const std::string& endpoint);
   std::vector<std::string> knownEndpoints() const;  // those with an address so far
   void onEndpointDraining(
--- a/src/process/active_role.cpp
+++ b/src/process/active_role.cpp
@@ -28,14 +28,6 @@
   return DiscoveryClient(io, parseAddress(configuration.discovery), configuration.discovery);
 }
 
-std::set<DecisionDriver::CallId> driverCalls(const std::set<CallId>& calls) {
-  std::set<DecisionDriver::CallId> converted;
-  for (const CallId& call : calls) {
-    converted.insert({call.message_id, call.attempt});
-  }
-  return converted;
-}
-
 }  // namespace
 
 ActiveRole::ActiveRole(asio::io_context& io, const Configuration& configuration, EndpointPool& endpoints,
@@ -45,9 +37,7 @@
       notifier_(discoveryClient(io, configuration),
                 [this](const std::string& message_id) { driver_.onNoticeAcknowledged(message_id); }),
       driver_(io, configuration.settings, configuration.seed, journal_, endpoints, notifier_,
-              [cancel_elsewhere = std::move(callbacks.cancel_elsewhere)](const DecisionDriver::CallId& call) {
-                cancel_elsewhere({call.first, call.second});
-              }),
+              std::move(callbacks.cancel_elsewhere)),
       watch_(discoveryClient(io, configuration), configuration.seed,
              [this](const json& answer) { return driver_.onEndpointList(answer); }),
       clients_(io, listenForClients(io, configuration), admission,
@@ -55,7 +45,7 @@
                  driver_.submit(std::move(message), std::move(reply));
                }),
       handover_listener_(io, configuration.scratch_folder, std::move(callbacks.on_successor)) {
-  driver_.recover(configuration.known_endpoints, driverCalls(recovery.calls_in_flight), recovery_started_at_,
+  driver_.recover(configuration.known_endpoints, recovery.calls_in_flight, recovery_started_at_,
                   recovery.keep_retry_after);
   watch_.start(driver_.endpointListIndex());
 }
--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -274,8 +274,9 @@
       o.result = AttemptResult::not_sent;
       onOutcome(std::move(o));
     } else if (const auto* c = std::get_if<CancelAttempt>(&a)) {
-      if (!endpoints_.cancel(c->id, c->attempt))
-        cancel_elsewhere_({c->id, c->attempt});
+      const CallId call{c->id, c->attempt};
+      if (!endpoints_.cancel(call))
+        cancel_elsewhere_(call);
     } else if (const auto* i = std::get_if<CloseIdleConnections>(&a)) {
       endpoints_.closeIdle(i->endpoint);
     } else if (const auto* w = std::get_if<SetTimer>(&a)) {
--- a/src/process/decision_driver.h
+++ b/src/process/decision_driver.h
@@ -18,7 +18,6 @@
 
 class DecisionDriver {
  public:
-  using CallId = EndpointPool::CallId;
   using CancelElsewhere = std::function<void(const CallId&)>;  // a call that another process has out
   DecisionDriver(boost::asio::io_context& io, Settings settings, std::uint64_t seed, Journal& journal,
                  EndpointPool& endpoints, CompletionNotifier& notices, CancelElsewhere cancel_elsewhere);
--- a/src/process/handover_predecessor.cpp
+++ b/src/process/handover_predecessor.cpp
@@ -42,7 +42,7 @@
 }
 
 void HandoverPredecessor::handle(const CancelCall& message) {
-  endpoints_.cancel(message.call.message_id, message.call.attempt);
+  endpoints_.cancel(message.call);
 }
 
 void HandoverPredecessor::sendRelease(const std::vector<CallId>& calls_in_flight) {
--- a/src/process/sender_process.cpp
+++ b/src/process/sender_process.cpp
@@ -198,8 +198,8 @@
 // another one owned the journal.
 std::set<CallId> SenderProcess::callsInFlightAnywhere() const {
   std::set<CallId> calls = successor_role_.callsInPredecessor();
-  for (const EndpointPool::CallId& call : endpoints_.callsInFlight()) {
-    calls.insert({call.first, call.second});
+  for (const CallId& call : endpoints_.callsInFlight()) {
+    calls.insert(call);
   }
   for (const AttemptOutcome& outcome : predecessor_role_.recordedOutcomes()) {
     calls.insert({outcome.id, outcome.attempt});
@@ -229,11 +229,7 @@
   active_role_->stepDown();
   former_roles_.push_back(std::move(active_role_));
   endpoints_.closeAllIdle();
-  std::vector<CallId> calls_in_flight;
-  for (const EndpointPool::CallId& call : endpoints_.callsInFlight()) {
-    calls_in_flight.push_back({call.first, call.second});
-  }
-  predecessor_role_.sendRelease(calls_in_flight);
+  predecessor_role_.sendRelease(endpoints_.callsInFlight());
   lock_.release();
   released_ = true;
   released_at_ = monotonicNow();
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -343,8 +343,8 @@
     p.io.restart();
     p.io.run_one_for(std::chrono::milliseconds(20));
   }
-  p.endpoints.cancel("m", 3);
-  p.endpoints.cancel("m", 3);
+  p.endpoints.cancel({"m", 3});
+  p.endpoints.cancel({"m", 3});
   const AttemptOutcome o = p.waitFor(1);
   EXPECT_EQ(AttemptResult::cancelled, o.result);
   EXPECT_EQ(3, o.attempt);
@@ -431,7 +431,7 @@
     EXPECT_TRUE(by["told"].still_in_flight);
     EXPECT_EQ(9'000'000, by["told"].retry_after);
     if (!cut)
-      p.endpoints.cancel("told", 0);
+      p.endpoints.cancel({"told", 0});
     const AttemptOutcome end = p.waitFor(p.outcomes.size() + 1);
     EXPECT_FALSE(end.still_in_flight);
     EXPECT_EQ(AttemptResult::error, end.result);  // what can't be read may have run
@@ -447,7 +447,7 @@
   while (s.seen().empty())
     p.io.run_one_for(std::chrono::milliseconds(1));
   std::this_thread::sleep_for(std::chrono::milliseconds(100));  // time for the answer to arrive: unread
-  p.endpoints.cancel("m", 0);
+  p.endpoints.cancel({"m", 0});
   const AttemptOutcome o = p.waitFor(1);
   EXPECT_EQ(AttemptResult::throttled, o.result);
   EXPECT_EQ(9'000'000, o.retry_after);
@@ -459,7 +459,7 @@
   Pool p;
   p.endpoints.setAddress("e", stuck.listener.address());
   p.endpoints.startCall(p.message("m"), 0, "e", within(60'000'000));
-  EXPECT_TRUE(p.endpoints.cancel("m", 0));
+  EXPECT_TRUE(p.endpoints.cancel({"m", 0}));
   EXPECT_EQ(1u, p.endpoints.inFlightCount());  // its outcome is still to be told
   EXPECT_EQ(1u, p.endpoints.callsInFlight().size());
   EXPECT_EQ(AttemptResult::not_sent, p.waitFor(1).result);
