--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -1,15 +1,14 @@
-// The server for clients; see client_server.h.
 #include "network/client_server.h"
 
+#include <algorithm>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
 #include <chrono>
-#include <cstdlib>
 #include <utility>
 #include <vector>
 
 #include "common/clocks.h"
-#include "network/queue_age.h"
+#include "protocol/message_request.h"
 #include "protocol/resp.h"
 
 namespace delivery {
@@ -20,242 +19,240 @@
 
 namespace {
 
-constexpr std::size_t kDiscard = 1u << 20;  // of a malformed request's rest
-constexpr std::chrono::milliseconds kLookForRoom{20};
-constexpr int kLooks = 16;  // at once for one that has nothing unread: others wait meanwhile
-constexpr std::int64_t kLongestMs = 24LL * 3600 * 1000;
+constexpr std::size_t kMaxDiscardedBytes = 1u << 20;  // that a peer may send after a malformed request
+constexpr std::chrono::milliseconds kCapacityCheckInterval{20};
+constexpr int kMaxEvictionAttempts = 16;  // in a row, for a candidate without unread input
+constexpr Micros kUnknownPast = INT64_MIN / 4;
 
-bool wholeNumber(const std::string& s, std::int64_t& out) {
-  if (s.empty() || s.size() > 18 || s.find_first_not_of("0123456789") != std::string::npos)
-    return false;
-  out = std::strtoll(s.c_str(), nullptr, 10);
-  return true;
-}
-
-// "c=notice,d=8000,..."; answers what is wrong, or nothing.
-const char* readFields(const std::string& list, AcceptedMessage& m) {
-  bool timed = false, addressed = false;
-  for (std::size_t at = 0; at < list.size();) {
-    const std::size_t end = std::min(list.find(',', at), list.size());
-    const std::string item = list.substr(at, end - at);
-    at = end + 1;
-    const auto equals = item.find('=');
-    if (equals == std::string::npos)
-      return "malformed list of values";
-    const std::string name = item.substr(0, equals), value = item.substr(equals + 1);
-    std::int64_t n = 0;
-    if (name == "c") {
-      m.message_class = value;
-    } else if (name == "t") {
-      m.tenant = value;
-    } else if (name == "d") {
-      if (!wholeNumber(value, n) || n == 0 || n > kLongestMs)
-        return "malformed d";
-      m.time_to_live = n * 1000;
-      timed = true;
-    } else if (name == "dest") {
-      if (!wholeNumber(value, m.destination))
-        return "malformed dest";
-      addressed = true;
-    } else if (name == "k") {
-      m.idempotency_key = value;
-    } else if (name == "r" || name == "again") {
-      m.is_retry = m.is_retry || value == "1";
-    }
-  }
-  if (m.message_class.empty())
-    return "no class";
-  if (!timed)
-    return "no d";
-  if (!addressed)
-    return "no dest";
-  return nullptr;
-}
-
-// Ids and keys go on as HTTP header values: guards against one that would end its header early.
-bool plain(const std::string& s) {
-  for (const char c : s)
-    if (c <= ' ' || c == 127)
-      return false;
-  return true;
-}
-
-std::string upper(std::string s) {
-  for (char& c : s)
-    if (c >= 'a' && c <= 'z')
-      c = static_cast<char>(c - 'a' + 'A');
-  return s;
+// Of a reply to a submitted message: whether that was in proper form, accepted or not.
+bool isAcceptedOrBusy(const std::string& reply) {
+  return reply[0] == '+' || reply.rfind("-BUSY", 0) == 0;
 }
 
 }  // namespace
 
-struct ClientServer::Session : std::enable_shared_from_this<Session> {
-  Session(ClientServer& c, tcp::socket s, ConnectionId i, Micros came_after)
-      : clients(c), socket(std::move(s)), id(i), waiting(came_after) {}
-
-  ClientServer& clients;
-  tcp::socket socket;
-  const ConnectionId id;
-  std::string in, out;
-  std::size_t discarded = 0;
-  QueueAge waiting;  // what is unread in the socket
-  Micros heard = 0,
-         began = 0;  // sent: the last bytes; the first ones of the request that is read or buffered
-  bool open = true, hangs_up = false;
-
-  // Waits first, so that a connection that rests holds no buffer.
-  void read() {
-    error_code none;
-    if (socket.available(none) == 0)
-      waiting.seenEmpty();
-    socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code e) {
-      if (!self->open)
+// One connection of a client. One request at a time: the next is parsed once this one is answered.
+class ClientServer::Session : public std::enable_shared_from_this<Session> {
+ public:
+  Session(ClientServer& server, tcp::socket socket, ConnectionId id, Micros connected_at)
+      : server_(server), socket_(std::move(socket)), id_(id), input_age_(connected_at) {}
+
+  // Waits before it reads, so that an idle connection holds no buffer.
+  void waitForInput() {
+    if (!hasUnreadInput()) {
+      input_age_.onEmpty();
+    }
+    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
+      if (!self->is_open_) {
         return;
-      self->waiting.seenFull(monotonicNow());
-      e ? self->close() : self->take();
+      }
+      self->input_age_.onReadable(monotonicNow());
+      if (error) {
+        self->close();
+      } else {
+        self->readInput();
+      }
     });
   }
 
-  void take() {
-    const std::size_t most = std::min(clients.admission_.readAllowance(id), sizeof clients.piece_);
-    if (most == 0)
-      return clients.lookLater();
-    error_code e;
-    const std::size_t n = socket.read_some(asio::buffer(clients.piece_, most), e);
-    if (e == asio::error::would_block)
-      return read();
-    if (e)
-      return close();
-    const Micros now = monotonicNow();
-    clients.admission_.onBytesReceived(id, n, now);
-    if (hangs_up) {
-      discarded += n;
-      return discarded >= kDiscard ? close() : read();
+  void readInput() {
+    const std::size_t allowance =
+        std::min(server_.admission_.readAllowance(id_), sizeof server_.read_buffer_);
+    if (allowance == 0) {
+      server_.scheduleCapacityCheck();
+      return;
+    }
+    error_code error;
+    const std::size_t count = socket_.read_some(asio::buffer(server_.read_buffer_, allowance), error);
+    if (error == asio::error::would_block) {
+      waitForInput();
+    } else if (error) {
+      close();
+    } else {
+      onInput(count);
     }
-    heard = waiting.from(now);
-    waiting.taken(now);
-    if (in.empty())
-      began = heard;
-    in.append(clients.piece_, n);
-    next();
   }
 
-  // One request at a time; the next is read once this one is answered.
-  void next() {
+  // Its turn has come: what was buffered is parsed once more.
+  void processQueuedRequest() {
     std::vector<std::string> words;
     std::size_t used = 0;
     std::string error;
-    const Parsed parsed = parseRequest(in, words, used, error);
-    if (parsed == Parsed::partial) {
-      clients.admission_.onRequestPartial(id, monotonicNow());
-      clients.watchDeadlines();
-      return read();
+    if (parseRequest(input_, words, used, error) == Parsed::whole) {
+      processRequest(words, used);
+    }
+  }
+
+  bool hasUnreadInput() const {
+    error_code ignored;
+    return socket_.available(ignored) > 0;
+  }
+
+  void close() {
+    if (!is_open_) {
+      return;
     }
-    if (parsed == Parsed::malformed) {
-      std::string().swap(in);
-      clients.admission_.onRequestMalformed(id, monotonicNow());
-      hangs_up = true;
-      return write("-ERR " + error);
+    is_open_ = false;
+    error_code ignored;
+    socket_.shutdown(tcp::socket::shutdown_both, ignored);
+    socket_.close(ignored);
+    server_.onSessionClosed(id_);
+  }
+
+ private:
+  // `count` bytes are in the server's read buffer.
+  void onInput(std::size_t count) {
+    const Micros now = monotonicNow();
+    server_.admission_.onBytesReceived(id_, count, now);
+    if (is_discarding_) {
+      discard(count);
+      return;
+    }
+    last_bytes_sent_at_ = input_age_.earliestArrival(now);
+    input_age_.onAllTaken(now);
+    if (input_.empty()) {
+      request_sent_at_ = last_bytes_sent_at_;
     }
-    if (clients.admission_.onRequestComplete(id, monotonicNow()) == RequestTurn::now)
-      carryOut(words, used);
+    input_.append(server_.read_buffer_, count);
+    parseInput();
   }
 
-  // Its turn has come: what was buffered is read once more.
-  void turn() {
+  void discard(std::size_t count) {
+    discarded_bytes_ += count;
+    if (discarded_bytes_ >= kMaxDiscardedBytes) {
+      close();
+    } else {
+      waitForInput();
+    }
+  }
+
+  void parseInput() {
     std::vector<std::string> words;
     std::size_t used = 0;
     std::string error;
-    if (parseRequest(in, words, used, error) == Parsed::whole)
-      carryOut(words, used);
-  }
-
-  void carryOut(const std::vector<std::string>& words, std::size_t used) {
-    const Micros first_byte = std::exchange(began, heard);  // what is left came with the last bytes
-    in.erase(0, used);
-    if (in.empty())
-      in.shrink_to_fit();  // what rests holds no memory of what it once sent
-    clients.admission_.onRequestConsumed(id, in.size());
-    const std::string command = upper(words[0]);
-    if (command == "PING" && words.size() > 1)
-      return answer("-ERR wrong number of arguments");
-    if (command == "PING")
-      return answer(clients.admission_.isDraining() ? "-ERR draining" : "+PONG");
-    if (command != "MSG.PUT")
-      return answer("-ERR unknown command");
-    if (words.size() != 5)
-      return answer("-ERR wrong number of arguments");
-    AcceptedMessage m;
-    if (words[1].find_first_not_of('0') != std::string::npos)
-      m.order_key = words[1];
-    m.id = words[2];
-    m.body = words[4];
-    if (m.id.empty() || !plain(m.id))
-      return answer("-ERR malformed id");
-    if (const char* wrong = readFields(words[3], m))
-      return answer(std::string("-ERR ") + wrong);
-    if (!plain(m.idempotency_key))
-      return answer("-ERR malformed k");
-    m.deadline = Deadline::after(first_byte, m.time_to_live);
-    ++clients.unanswered_;
-    clients.on_put_(std::move(m), [self = shared_from_this()](const std::string& reply) {
-      --self->clients.unanswered_;
-      if (self->open)
-        self->answer(reply, reply[0] == '+' || reply.rfind("-BUSY", 0) == 0);
-    });
+    switch (parseRequest(input_, words, used, error)) {
+      case Parsed::partial:
+        server_.admission_.onRequestPartial(id_, monotonicNow());
+        server_.scheduleDeadlines();
+        waitForInput();
+        break;
+      case Parsed::malformed:
+        std::string().swap(input_);
+        server_.admission_.onRequestMalformed(id_, monotonicNow());
+        is_discarding_ = true;
+        write("-ERR " + error);
+        break;
+      case Parsed::whole:
+        if (server_.admission_.onRequestComplete(id_, monotonicNow()) == RequestTurn::now) {
+          processRequest(words, used);
+        }
+        break;
+    }
   }
 
-  void answer(const std::string& reply, bool useful = false) {
-    clients.admission_.onReplyStarted(id, useful, monotonicNow());
-    write(reply);
+  void processRequest(const std::vector<std::string>& words, std::size_t used) {
+    // The rest of the buffer arrived with the last bytes.
+    const Micros sent_at = std::exchange(request_sent_at_, last_bytes_sent_at_);
+    consumeInput(used);
+    ClientRequest request = parseClientRequest(words);
+    if (const auto* error = std::get_if<RequestError>(&request)) {
+      reply(errorReply(*error), false);
+    } else if (auto* message = std::get_if<AcceptedMessage>(&request)) {
+      submit(std::move(*message), sent_at);
+    } else {
+      reply(server_.admission_.isDraining() ? "-ERR draining" : "+PONG", false);
+    }
   }
 
-  void write(const std::string& reply) {
-    out = reply + "\r\n";
-    clients.watchDeadlines();
-    asio::async_write(socket, asio::buffer(out), [self = shared_from_this()](error_code e, std::size_t) {
-      if (!self->open)
-        return;
-      if (e)
-        return self->close();
-      if (self->hangs_up)
-        return self->hangUp();
-      const bool more = !self->in.empty() || self->socket.available(e) > 0;
-      if (self->clients.admission_.onReplyWritten(self->id, more, monotonicNow()) == AfterReply::close)
-        return self->close();
-      self->in.empty() ? self->read() : self->next();
-      self->clients.serveWaiting();
+  void consumeInput(std::size_t used) {
+    input_.erase(0, used);
+    if (input_.empty()) {
+      input_.shrink_to_fit();  // an idle connection holds no memory of its earlier requests
+    }
+    server_.admission_.onRequestConsumed(id_, input_.size());
+  }
+
+  void submit(AcceptedMessage message, Micros sent_at) {
+    message.deadline = Deadline::after(sent_at, message.time_to_live);
+    ++server_.unanswered_requests_;
+    server_.on_submit_(std::move(message), [self = shared_from_this()](const std::string& line) {
+      --self->server_.unanswered_requests_;
+      if (self->is_open_) {
+        self->reply(line, isAcceptedOrBusy(line));
+      }
     });
   }
 
-  // Sends the end and reads on for a while: a close with input unread would take the reply with it.
-  void hangUp() {
-    error_code ignored;
-    socket.shutdown(tcp::socket::shutdown_send, ignored);
-    read();
+  void reply(const std::string& line, bool has_submitted) {
+    server_.admission_.onReplyStarted(id_, has_submitted, monotonicNow());
+    write(line);
   }
 
-  void close() {
-    if (!open)
+  void write(const std::string& line) {
+    output_ = line + "\r\n";
+    server_.scheduleDeadlines();
+    asio::async_write(socket_, asio::buffer(output_),
+                      [self = shared_from_this()](error_code error, std::size_t) {
+                        if (self->is_open_) {
+                          self->onWritten(error);
+                        }
+                      });
+  }
+
+  void onWritten(error_code error) {
+    if (error) {
+      close();
+      return;
+    }
+    if (is_discarding_) {
+      shutdownAndDiscard();
       return;
-    open = false;
+    }
+    const bool has_more_input = !input_.empty() || hasUnreadInput();
+    if (server_.admission_.onReplyWritten(id_, has_more_input, monotonicNow()) == AfterReply::close) {
+      close();
+      return;
+    }
+    if (input_.empty()) {
+      waitForInput();
+    } else {
+      parseInput();
+    }
+    server_.resumeQueued();
+  }
+
+  // Ends its own side and reads on for a while: a close with unread input would discard the reply.
+  void shutdownAndDiscard() {
     error_code ignored;
-    socket.shutdown(tcp::socket::shutdown_both, ignored);
-    socket.close(ignored);
-    clients.ended(id);
+    socket_.shutdown(tcp::socket::shutdown_send, ignored);
+    waitForInput();
   }
+
+  ClientServer& server_;
+  tcp::socket socket_;
+  const ConnectionId id_;
+  std::string input_;
+  std::string output_;
+  std::size_t discarded_bytes_ = 0;
+  QueueAge input_age_;             // of the unread input in the socket
+  Micros last_bytes_sent_at_ = 0;  // at the earliest, as the next
+  Micros request_sent_at_ = 0;     // the first bytes of the request that is buffered
+  bool is_open_ = true;
+  bool is_discarding_ = false;  // after a malformed request
 };
 
 ClientServer::ClientServer(asio::io_context& io, tcp::acceptor acceptor, ClientAdmission& admission,
-                           OnPut on_put)
+                           OnSubmit on_submit)
     : acceptor_(std::move(acceptor)),
-      look_(io),
-      deadline_(io),
+      capacity_timer_(io),
+      deadline_timer_(io),
       admission_(admission),
-      on_put_(std::move(on_put)) {
+      on_submit_(std::move(on_submit)),
+      accept_queue_(kUnknownPast) {
   acceptor_.non_blocking(true);
-  if (acceptPending())
+  if (acceptPending()) {
     accept();
+  }
 }
 
 ClientServer::~ClientServer() {
@@ -263,187 +260,236 @@
 }
 
 void ClientServer::stop() {
-  paused_ = true;
+  is_paused_ = true;
   error_code ignored;
   acceptor_.close(ignored);
-  look_.cancel();
-  const auto all = sessions_;
-  for (const auto& [id, s] : all)
-    s->close();
-  deadline_.cancel();
+  capacity_timer_.cancel();
+  const auto sessions = sessions_;
+  for (const auto& [id, session] : sessions) {
+    session->close();
+  }
+  deadline_timer_.cancel();
 }
 
 void ClientServer::pauseAccepting() {
-  paused_ = true;
+  is_paused_ = true;
   error_code ignored;
   acceptor_.cancel(ignored);
 }
 
 void ClientServer::resumeAccepting() {
-  paused_ = false;
+  is_paused_ = false;
   accept();
 }
 
-// No more connections than there is room for: the others wait in the kernel's queue. Guards against running
-// out of descriptors, which the calls to endpoints need too.
+// No more connections than there is capacity for: the others wait in the kernel's queue, so that descriptors
+// are left for the calls to endpoints.
 void ClientServer::accept() {
-  if (accepting_ || paused_)
+  if (is_accepting_ || is_paused_) {
     return;
-  accepting_ = true;
-  acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code e) {
-    accepting_ = false;
-    if (e || paused_)
-      return accept();  // one that was paused went on meanwhile
-    queue_.seenFull(monotonicNow());
-    if (!admission_.hasCapacity() && !makeRoom(false))
-      return lookLater();
-    if (acceptPending())
+  }
+  is_accepting_ = true;
+  acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code error) {
+    is_accepting_ = false;
+    if (error || is_paused_) {
+      accept();  // it may have been paused and resumed meanwhile
+      return;
+    }
+    accept_queue_.onReadable(monotonicNow());
+    if (!admission_.hasCapacity() && !evictForConnection()) {
+      scheduleCapacityCheck();
+      return;
+    }
+    if (acceptPending()) {
       accept();
+    }
   });
 }
 
-// Those that wait in the queue, as far as there is room. False: what came instead is to be tried again later.
+// Accepts what waits in the kernel's queue, as far as there is capacity. False: accepting failed and is
+// tried again with the next check of the capacity.
 bool ClientServer::acceptPending() {
   while (admission_.hasCapacity()) {
-    tcp::socket s(acceptor_.get_executor());
-    error_code e;
-    acceptor_.accept(s, e);
-    if (e == asio::error::would_block) {
-      queue_.seenEmpty();
+    tcp::socket socket(acceptor_.get_executor());
+    error_code error;
+    acceptor_.accept(socket, error);
+    if (error == asio::error::would_block) {
+      accept_queue_.onEmpty();
       return true;
     }
-    if (!e)
-      accepted(std::move(s));
-    if (!e || e == asio::error::connection_aborted)
-      continue;  // its peer gave up
+    if (!error) {
+      onAccepted(std::move(socket));
+      continue;
+    }
+    if (error == asio::error::connection_aborted) {
+      continue;  // closed by its peer
+    }
     // The machine may have fewer descriptors than were configured: as if the table were full.
-    const bool none_left =
-        e == asio::error::no_descriptors || e == boost::system::errc::too_many_files_open_in_system;
-    if (none_left && makeRoom(false))
+    const bool out_of_descriptors =
+        error == asio::error::no_descriptors || error == boost::system::errc::too_many_files_open_in_system;
+    if (out_of_descriptors && evictForConnection()) {
       return true;
-    lookLater();  // rather than spin
+    }
+    scheduleCapacityCheck();
     return false;
   }
   return true;
 }
 
-void ClientServer::accepted(tcp::socket s) {
-  error_code e;
-  const tcp::endpoint peer = s.remote_endpoint(e);
-  if (e)
-    return;  // gone already
-  s.set_option(tcp::no_delay(true), e);
-  s.non_blocking(true, e);
+void ClientServer::onAccepted(tcp::socket socket) {
+  error_code error;
+  const tcp::endpoint peer = socket.remote_endpoint(error);
+  if (error) {
+    return;  // closed by its peer
+  }
+  socket.set_option(tcp::no_delay(true), error);
+  socket.non_blocking(true, error);
   const Micros now = monotonicNow();
   const ConnectionId id = admission_.onAccepted(peer.address().to_string(), now);
-  const auto session = std::make_shared<Session>(*this, std::move(s), id, queue_.from(now));
+  const auto session =
+      std::make_shared<Session>(*this, std::move(socket), id, accept_queue_.earliestArrival(now));
   sessions_.emplace(id, session);
-  watchDeadlines();
-  session->read();
+  scheduleDeadlines();
+  session->waitForInput();
 }
 
-// Looks again soon for what has no event: somebody who has been silent for long enough to go.
-void ClientServer::lookLater() {
-  if (looking_)
+// For what has no event: a connection has been silent for long enough to be evicted.
+void ClientServer::scheduleCapacityCheck() {
+  if (capacity_check_scheduled_) {
     return;
-  looking_ = true;
-  look_.expires_after(kLookForRoom);
-  look_.async_wait([this](error_code stopped) {
-    looking_ = false;
-    if (stopped)
-      return;
-    if (admission_.hasStalledReaders())
-      makeRoom(true);
-    while (admission_.isOverCapacity() && makeRoom(false)) {
+  }
+  capacity_check_scheduled_ = true;
+  capacity_timer_.expires_after(kCapacityCheckInterval);
+  capacity_timer_.async_wait([this](error_code cancelled) {
+    capacity_check_scheduled_ = false;
+    if (!cancelled) {
+      checkCapacity();
     }
-    serveWaiting();
-    if (const auto event = admission_.pollPressure(monotonicNow()))
-      logPressureEvent(*event);
-    if (admission_.hasStalledReaders() || admission_.isOverCapacity() || admission_.isUnderPressure())
-      lookLater();
-    accept();
   });
 }
 
-// Guards against peers that fill the table, or the room for what is read, while clients wait.
-bool ClientServer::makeRoom(bool for_bytes) {
-  for (int i = 0; i < kLooks; ++i) {
+void ClientServer::checkCapacity() {
+  if (admission_.hasStalledReaders()) {
+    evictForBuffers();
+  }
+  bool evicted = true;
+  while (evicted && admission_.isOverCapacity()) {
+    evicted = evictForConnection();
+  }
+  resumeQueued();
+  if (const auto event = admission_.pollPressure(monotonicNow())) {
+    logPressureEvent(*event);
+  }
+  if (admission_.hasStalledReaders() || admission_.isOverCapacity() || admission_.isUnderPressure()) {
+    scheduleCapacityCheck();
+  }
+  accept();
+}
+
+bool ClientServer::evictForConnection() {
+  return evict([this](Micros now) { return admission_.evictionCandidate(now); });
+}
+
+bool ClientServer::evictForBuffers() {
+  return evict([this](Micros now) { return admission_.bufferEvictionCandidate(now); });
+}
+
+// False: no connection could be closed.
+bool ClientServer::evict(const std::function<std::optional<ConnectionId>(Micros now)>& find_candidate) {
+  for (int attempt = 0; attempt < kMaxEvictionAttempts; ++attempt) {
     const Micros now = monotonicNow();
-    const auto id = for_bytes ? admission_.bufferEvictionCandidate(now) : admission_.evictionCandidate(now);
-    if (!id)
-      break;
-    if (unread(*id))
+    const std::optional<ConnectionId> candidate = find_candidate(now);
+    if (!candidate) {
+      return false;
+    }
+    if (noteUnreadInput(*candidate)) {
       continue;
-    admission_.onEvicted(*id, now);
-    lookLater();
-    sessions_.at(*id)->close();
+    }
+    admission_.onEvicted(*candidate, now);
+    scheduleCapacityCheck();
+    sessions_.at(*candidate)->close();
     return true;
   }
   return false;
 }
 
-// It has sent something that was not read yet: it does not go now.
-bool ClientServer::unread(ConnectionId id) {
-  error_code e;
-  if (sessions_.at(id)->socket.available(e) == 0)
+// True: the connection has unread input, and is not to be closed before that is read.
+bool ClientServer::noteUnreadInput(ConnectionId id) {
+  if (!sessions_.at(id)->hasUnreadInput()) {
     return false;
+  }
   admission_.onUnreadInput(id);
   return true;
 }
 
-void ClientServer::ended(ConnectionId id) {
+void ClientServer::onSessionClosed(ConnectionId id) {
   sessions_.erase(id);
   admission_.onClosed(id);
-  serveWaiting();
+  resumeQueued();
   accept();
 }
 
-void ClientServer::serveWaiting() {
-  if (serving_)
+// The queued requests and stalled readers whose turn has come.
+void ClientServer::resumeQueued() {
+  if (is_resuming_) {
     return;
-  serving_ = true;
-  while (const auto id = admission_.nextQueuedRequest())
-    sessions_.at(*id)->turn();
-  while (const auto id = admission_.nextResumedReader())
-    sessions_.at(*id)->take();
-  serving_ = false;
+  }
+  is_resuming_ = true;
+  while (const auto id = admission_.nextQueuedRequest()) {
+    sessions_.at(*id)->processQueuedRequest();
+  }
+  while (const auto id = admission_.nextResumedReader()) {
+    sessions_.at(*id)->readInput();
+  }
+  is_resuming_ = false;
 }
 
-void ClientServer::watchDeadlines() {
+void ClientServer::scheduleDeadlines() {
   const Micros next = admission_.nextDeadline();
-  if (next >= watched_)
-    return;  // the timer looks earlier
-  watched_ = next;
-  deadline_.expires_after(std::chrono::microseconds(std::max<Micros>(0, next - monotonicNow())));
-  deadline_.async_wait([this](error_code stopped) {
-    if (stopped)
+  if (next >= scheduled_deadline_) {
+    return;  // the timer fires earlier
+  }
+  scheduled_deadline_ = next;
+  deadline_timer_.expires_after(std::chrono::microseconds(std::max<Micros>(0, next - monotonicNow())));
+  deadline_timer_.async_wait([this](error_code cancelled) {
+    if (cancelled) {
       return;
-    watched_ = kNoDeadline;
-    const Micros now = monotonicNow();
-    for (const ConnectionId id : admission_.overdue(now)) {
-      const auto it = sessions_.find(id);
-      if (it == sessions_.end())
-        continue;
-      error_code none;
-      if (admission_.mayCloseOverdue(id, it->second->socket.available(none) > 0, now))
-        it->second->close();
     }
-    watchDeadlines();
+    scheduled_deadline_ = kNoDeadline;
+    closeOverdue();
+    scheduleDeadlines();
   });
 }
 
+void ClientServer::closeOverdue() {
+  const Micros now = monotonicNow();
+  for (const ConnectionId id : admission_.overdue(now)) {
+    const auto entry = sessions_.find(id);
+    if (entry == sessions_.end()) {
+      continue;
+    }
+    const std::shared_ptr<Session> session = entry->second;
+    if (admission_.mayCloseOverdue(id, session->hasUnreadInput(), now)) {
+      session->close();
+    }
+  }
+}
+
 void ClientServer::applyBudget() {
-  if (admission_.isOverCapacity())
-    lookLater();
-  serveWaiting();
+  if (admission_.isOverCapacity()) {
+    scheduleCapacityCheck();
+  }
+  resumeQueued();
   accept();
 }
 
 void ClientServer::startDraining() {
-  for (const ConnectionId id : admission_.startDraining(monotonicNow()))
-    if (!unread(id))
+  for (const ConnectionId id : admission_.startDraining(monotonicNow())) {
+    if (!noteUnreadInput(id)) {
       sessions_.at(id)->close();
-  watchDeadlines();
+    }
+  }
+  scheduleDeadlines();
 }
 
 }  // namespace delivery
--- a/src/network/client_server.h
+++ b/src/network/client_server.h
@@ -1,5 +1,5 @@
-// The RESP2 server that clients hand messages to: PING and MSG.PUT, each request answered in
-// turn. Who is let in, read and closed is decided by ClientAdmission.
+// The RESP2 server to which clients submit messages: PING and MSG.PUT, the requests of a connection answered
+// one after the other. ClientAdmission decides which connections are accepted, read from and closed.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -8,6 +8,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 
 #include "network/client_admission.h"
@@ -19,48 +20,61 @@
 class ClientServer {
  public:
   using Reply = std::function<void(const std::string&)>;  // one RESP line without its end, called once
-  // What a client hands in. Answers by the reply, now or later.
-  using OnPut = std::function<void(AcceptedMessage, Reply)>;
+  // A client submits a message. Answers by the reply, now or later.
+  using OnSubmit = std::function<void(AcceptedMessage, Reply)>;
 
   ClientServer(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor acceptor,
-               ClientAdmission& admission, OnPut on_put);
+               ClientAdmission& admission, OnSubmit on_submit);
   ~ClientServer();
   ClientServer(const ClientServer&) = delete;
   ClientServer& operator=(const ClientServer&) = delete;
 
-  // PING gets no yes; closes connections between requests, and those that still come or are in one once
-  // answered.
+  // PING is answered with an error from here on. Closes connections between requests, and once answered
+  // those that are in a request or are accepted later.
   void startDraining();
   void stopDraining() { admission_.stopDraining(); }
-  void pauseAccepting();  // who comes meanwhile waits in the backlog
+  void pauseAccepting();  // new connections wait in the kernel's queue
   void resumeAccepting();
-  void stop();  // listens no more and closes what is left
-  void applyBudget();
-  std::size_t unansweredRequests() const { return unanswered_; }
+  void stop();         // stops listening and closes all connections
+  void applyBudget();  // that of the admission has changed
+  std::size_t unansweredRequests() const { return unanswered_requests_; }
   std::size_t connectionCount() const { return sessions_.size(); }
 
  private:
-  struct Session;
+  class Session;
+
+  // Accepting.
   void accept();
   bool acceptPending();
-  void accepted(boost::asio::ip::tcp::socket s);
-  bool makeRoom(bool for_bytes);
-  bool unread(ConnectionId id);
-  void ended(ConnectionId id);
-  void serveWaiting();  // those whose turn or whose room to be read has come
-  void watchDeadlines();
-  void lookLater();
+  void onAccepted(boost::asio::ip::tcp::socket socket);
+  void onSessionClosed(ConnectionId id);
+
+  // Under pressure.
+  bool evictForConnection();
+  bool evictForBuffers();
+  bool evict(const std::function<std::optional<ConnectionId>(Micros now)>& find_candidate);
+  bool noteUnreadInput(ConnectionId id);
+  void scheduleCapacityCheck();
+  void checkCapacity();
+
+  void resumeQueued();
+  void scheduleDeadlines();
+  void closeOverdue();
 
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer look_, deadline_;
+  boost::asio::steady_timer capacity_timer_;
+  boost::asio::steady_timer deadline_timer_;
   ClientAdmission& admission_;
-  OnPut on_put_;
+  OnSubmit on_submit_;
   std::map<ConnectionId, std::shared_ptr<Session>> sessions_;
-  std::size_t unanswered_ = 0;
-  QueueAge queue_{INT64_MIN / 4};  // the kernel's queue of connections; at first there is no telling
-  Micros watched_ = kNoDeadline;   // the deadline that the timer waits for
-  bool accepting_ = false, paused_ = false, looking_ = false, serving_ = false;
-  char piece_[16384];  // what was just read, for all connections
+  std::size_t unanswered_requests_ = 0;
+  QueueAge accept_queue_;                    // the kernel's queue of connections
+  Micros scheduled_deadline_ = kNoDeadline;  // which the timer waits for
+  bool is_accepting_ = false;                // a wait for connections is pending
+  bool is_paused_ = false;
+  bool capacity_check_scheduled_ = false;
+  bool is_resuming_ = false;
+  char read_buffer_[16384];  // what was just read, shared by all connections
 };
 
 }  // namespace delivery
--- a/src/network/queue_age.h
+++ b/src/network/queue_age.h
@@ -1,6 +1,6 @@
-// Since when what is taken out of a queue of the kernel's may have waited there: a connection that
-// is accepted, bytes that are read. A message's time runs from when its client sent it, not from when it was
-// read. Plain: fed with what is seen of the queue, and the time.
+// Since when that which is taken out of a queue of the kernel may have waited there: a connection that is
+// accepted, bytes that are read. A message's time to live counts from when its client sent it, not from when
+// it was read. Plain rules, fed with what is seen of the queue, and the time.
 #pragma once
 
 #include <algorithm>
@@ -9,21 +9,26 @@
 
 namespace delivery {
 
-// A client waits so long for an answer: what it sent earlier, it does not wait for any more.
-constexpr Micros kClientWaits = 400'000;
+// No client waits longer for a reply: nothing that is still of use to it was sent earlier.
+constexpr Micros kClientReplyTimeout = 400'000;
 
 class QueueAge {
  public:
-  explicit QueueAge(Micros nothing_before) : since_(nothing_before) {}
-  void seenEmpty() { since_ = kAsItComes; }  // and watched: what comes is seen as it comes
-  void seenFull(Micros now) { since_ = std::min(since_, now); }
-  void taken(Micros now) { since_ = now; }  // all of it: what is there next came later
-  // The earliest moment at which what is taken now can have come.
-  Micros from(Micros now) const { return std::min(now, std::max(since_, now - kClientWaits)); }
+  // `empty_until`: nothing arrived before.
+  explicit QueueAge(Micros empty_until) : arrived_since_(empty_until) {}
+
+  void onEmpty() { arrived_since_ = kNothingArrived; }  // and watched: the next arrival is seen at once
+  void onReadable(Micros now) { arrived_since_ = std::min(arrived_since_, now); }
+  void onAllTaken(Micros now) { arrived_since_ = now; }  // what is found there next arrived later
+
+  // The earliest moment at which what is taken now can have arrived.
+  Micros earliestArrival(Micros now) const {
+    return std::min(now, std::max(arrived_since_, now - kClientReplyTimeout));
+  }
 
  private:
-  static constexpr Micros kAsItComes = INT64_MAX;
-  Micros since_;
+  static constexpr Micros kNothingArrived = INT64_MAX;
+  Micros arrived_since_;
 };
 
 }  // namespace delivery
--- /dev/null
+++ b/src/protocol/message_request.cpp
@@ -0,0 +1,188 @@
+#include "protocol/message_request.h"
+
+#include <algorithm>
+#include <cstdlib>
+#include <optional>
+
+namespace delivery {
+
+namespace {
+
+constexpr std::int64_t kMicrosPerMs = 1000;
+constexpr std::int64_t kMaxTimeToLiveMs = 24LL * 3600 * 1000;
+constexpr std::size_t kMaxDigits = 18;  // fits 64 bits
+constexpr char kDelete = 127;
+
+// MSG.PUT order-key id fields body
+constexpr std::size_t kOrderKeyWord = 1;
+constexpr std::size_t kIdWord = 2;
+constexpr std::size_t kFieldsWord = 3;
+constexpr std::size_t kBodyWord = 4;
+constexpr std::size_t kMessageWords = 5;
+
+std::optional<std::int64_t> parseWholeNumber(const std::string& text) {
+  if (text.empty() || text.size() > kMaxDigits || text.find_first_not_of("0123456789") != std::string::npos) {
+    return std::nullopt;
+  }
+  return std::strtoll(text.c_str(), nullptr, 10);
+}
+
+// Ids and keys become HTTP header values, which a blank or control character might end early.
+bool isValidHeaderValue(const std::string& text) {
+  return std::none_of(text.begin(), text.end(), [](char c) { return c <= ' ' || c == kDelete; });
+}
+
+std::string toUpper(std::string text) {
+  for (char& c : text) {
+    if (c >= 'a' && c <= 'z') {
+      c = static_cast<char>(c - 'a' + 'A');
+    }
+  }
+  return text;
+}
+
+// Reads a list of fields, "c=notice,d=8000,...", into a message. Fields that are not known are ignored.
+class FieldListReader {
+ public:
+  explicit FieldListReader(AcceptedMessage& message) : message_(message) {}
+
+  std::optional<RequestError> read(const std::string& list) {
+    for (std::size_t begin = 0; begin < list.size();) {
+      const std::size_t end = std::min(list.find(',', begin), list.size());
+      if (const auto error = readItem(list.substr(begin, end - begin))) {
+        return error;
+      }
+      begin = end + 1;
+    }
+    return findMissing();
+  }
+
+ private:
+  std::optional<RequestError> readItem(const std::string& item) {
+    const std::size_t equals = item.find('=');
+    if (equals == std::string::npos) {
+      return RequestError::malformed_field_list;
+    }
+    return readField(item.substr(0, equals), item.substr(equals + 1));
+  }
+
+  std::optional<RequestError> readField(const std::string& name, const std::string& value) {
+    if (name == "c") {
+      message_.message_class = value;
+    } else if (name == "t") {
+      message_.tenant = value;
+    } else if (name == "k") {
+      message_.idempotency_key = value;
+    } else if (name == "r" || name == "again") {
+      message_.is_retry = message_.is_retry || value == "1";
+    } else if (name == "d") {
+      return readTimeToLive(value);
+    } else if (name == "dest") {
+      return readDestination(value);
+    }
+    return std::nullopt;
+  }
+
+  std::optional<RequestError> readTimeToLive(const std::string& value) {
+    const std::optional<std::int64_t> milliseconds = parseWholeNumber(value);
+    if (!milliseconds || *milliseconds == 0 || *milliseconds > kMaxTimeToLiveMs) {
+      return RequestError::malformed_time_to_live;
+    }
+    message_.time_to_live = *milliseconds * kMicrosPerMs;
+    has_time_to_live_ = true;
+    return std::nullopt;
+  }
+
+  std::optional<RequestError> readDestination(const std::string& value) {
+    const std::optional<std::int64_t> destination = parseWholeNumber(value);
+    if (!destination) {
+      return RequestError::malformed_destination;
+    }
+    message_.destination = *destination;
+    has_destination_ = true;
+    return std::nullopt;
+  }
+
+  std::optional<RequestError> findMissing() const {
+    if (message_.message_class.empty()) {
+      return RequestError::missing_class;
+    }
+    if (!has_time_to_live_) {
+      return RequestError::missing_time_to_live;
+    }
+    if (!has_destination_) {
+      return RequestError::missing_destination;
+    }
+    return std::nullopt;
+  }
+
+  AcceptedMessage& message_;
+  bool has_time_to_live_ = false;
+  bool has_destination_ = false;
+};
+
+ClientRequest parseMessage(const std::vector<std::string>& words) {
+  if (words.size() != kMessageWords) {
+    return RequestError::wrong_argument_count;
+  }
+  AcceptedMessage message;
+  if (words[kOrderKeyWord].find_first_not_of('0') != std::string::npos) {  // all zeros: not ordered
+    message.order_key = words[kOrderKeyWord];
+  }
+  message.id = words[kIdWord];
+  message.body = words[kBodyWord];
+  if (message.id.empty() || !isValidHeaderValue(message.id)) {
+    return RequestError::malformed_id;
+  }
+  if (const auto error = FieldListReader(message).read(words[kFieldsWord])) {
+    return *error;
+  }
+  if (!isValidHeaderValue(message.idempotency_key)) {
+    return RequestError::malformed_idempotency_key;
+  }
+  return message;
+}
+
+}  // namespace
+
+const char* errorReply(RequestError error) {
+  switch (error) {
+    case RequestError::unknown_command:
+      return "-ERR unknown command";
+    case RequestError::wrong_argument_count:
+      return "-ERR wrong number of arguments";
+    case RequestError::malformed_id:
+      return "-ERR malformed id";
+    case RequestError::malformed_field_list:
+      return "-ERR malformed list of values";
+    case RequestError::malformed_time_to_live:
+      return "-ERR malformed d";
+    case RequestError::malformed_destination:
+      return "-ERR malformed dest";
+    case RequestError::malformed_idempotency_key:
+      return "-ERR malformed k";
+    case RequestError::missing_class:
+      return "-ERR no class";
+    case RequestError::missing_time_to_live:
+      return "-ERR no d";
+    case RequestError::missing_destination:
+      return "-ERR no dest";
+  }
+  return "-ERR";
+}
+
+ClientRequest parseClientRequest(const std::vector<std::string>& words) {
+  const std::string command = toUpper(words.front());
+  if (command == "PING") {
+    if (words.size() > 1) {
+      return RequestError::wrong_argument_count;
+    }
+    return PingRequest{};
+  }
+  if (command == "MSG.PUT") {
+    return parseMessage(words);
+  }
+  return RequestError::unknown_command;
+}
+
+}  // namespace delivery
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -1,5 +1,5 @@
-// The server for clients on loopback sockets, the loop turned by the test: requests that wait unread while
-// something else happens to their connection.
+// The client server on loopback sockets, with an event loop that the test runs: requests that are unread
+// while something else happens to their connection.
 #include "network/client_server.h"
 
 #include <boost/asio/io_context.hpp>
@@ -17,129 +17,132 @@
 
 constexpr Micros kMs = 1000;
 
-// The server for clients with a table of its own; the test turns the loop.
-struct Served {
-  explicit Served(std::int64_t places) : admission(budgetFor(places)) {
+// A client server with an admission of its own.
+struct TestServer {
+  explicit TestServer(std::int64_t max_connections) : admission(budgetFor(max_connections)) {
     auto acceptor = listenAt(io, {boost::asio::ip::address_v4::loopback(), 0});
     port = acceptor.local_endpoint().port();
-    clients = std::make_unique<ClientServer>(io, std::move(acceptor), admission,
-                                             [this](AcceptedMessage m, ClientServer::Reply reply) {
-                                               taken = std::move(m);
-                                               reply("+OK");
-                                             });
+    server = std::make_unique<ClientServer>(io, std::move(acceptor), admission,
+                                            [this](AcceptedMessage message, ClientServer::Reply reply) {
+                                              submitted = std::move(message);
+                                              reply("+OK");
+                                            });
   }
-  static DescriptorBudget budgetFor(std::int64_t places) {
+  static DescriptorBudget budgetFor(std::int64_t max_connections) {
     DescriptorBudget budget;
-    budget.max_clients = budget.max_open_requests = places;
+    budget.max_clients = budget.max_open_requests = max_connections;
     budget.max_pooled_bytes = kLongestRequest;
     return budget;
   }
-  void turnUntil(const std::function<bool()>& holds) {
-    while (!holds())
+  void runUntil(const std::function<bool()>& condition) {
+    while (!condition())
       io.run_one();
   }
 
   boost::asio::io_context io;
   ClientAdmission admission;
   int port = 0;
-  std::optional<AcceptedMessage> taken;
-  std::unique_ptr<ClientServer> clients;
+  std::optional<AcceptedMessage> submitted;
+  std::unique_ptr<ClientServer> server;
 };
 
-const std::string kPut = loopback::Client::request({"MSG.PUT", "0", "m", "c=order,d=8000,dest=7", "x"});
+const std::string kSubmitRequest =
+    loopback::Client::request({"MSG.PUT", "0", "m", "c=order,d=8000,dest=7", "x"});
 
-// The table is full, so a connection waits in the kernel's queue, and what its client sends with it.
-TEST(ClientsSockets, AMessagesTimeRunsFromWhenItWasSentNotFromWhenItWasRead) {
-  Served s(1);
-  auto first = std::make_unique<loopback::Client>(s.port);
-  s.turnUntil([&] { return s.clients->connectionCount() == 1; });
-  loopback::Client second(s.port);
-  s.io.run_one();  // it is seen, and there is no room for it
-  ASSERT_EQ(1u, s.clients->connectionCount());
-  second.send(kPut);
+// The table is full, so a connection waits in the kernel's queue, with what its client sends.
+TEST(ClientServer, ATimeToLiveCountsFromWhenTheMessageWasSentNotRead) {
+  TestServer test(1);
+  auto first = std::make_unique<loopback::Client>(test.port);
+  test.runUntil([&] { return test.server->connectionCount() == 1; });
+  loopback::Client second(test.port);
+  test.io.run_one();  // it is seen, and there is no capacity for it
+  ASSERT_EQ(1u, test.server->connectionCount());
+  second.send(kSubmitRequest);
   const Micros sent = monotonicNow();
   first.reset();
-  s.turnUntil([&] { return s.taken.has_value(); });
-  EXPECT_LE(s.taken->deadline.at(), sent + 8000 * kMs);
-  EXPECT_GE(s.taken->deadline.at(), sent + 8000 * kMs - kClientWaits);
+  test.runUntil([&] { return test.submitted.has_value(); });
+  EXPECT_LE(test.submitted->deadline.at(), sent + 8000 * kMs);
+  EXPECT_GE(test.submitted->deadline.at(), sent + 8000 * kMs - kClientReplyTimeout);
 }
 
-// A connection's deadline comes while this process is busy, with a whole request in the socket: a test's
+// A connection's deadline comes while this process is busy, with a complete request in the socket: a test's
 // timer, due just before, sends it, and both fire in one turn of the loop.
-TEST(ClientsSockets, ARequestThatIsInTheSocketAtTheDeadlineIsServed) {
-  Served s(2);
-  loopback::Client client(s.port);
-  s.turnUntil([&] { return s.clients->connectionCount() == 1; });
-  s.io.poll();
-  const Micros deadline = s.admission.nextDeadline();
-  boost::asio::steady_timer just_before(s.io);
+TEST(ClientServer, ARequestInTheSocketAtTheDeadlineIsAnswered) {
+  TestServer test(2);
+  loopback::Client client(test.port);
+  test.runUntil([&] { return test.server->connectionCount() == 1; });
+  test.io.poll();
+  const Micros deadline = test.admission.nextDeadline();
+  boost::asio::steady_timer just_before(test.io);
   just_before.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(deadline - 1)));
-  just_before.async_wait([&](const boost::system::error_code&) { client.send(kPut); });
+  just_before.async_wait([&](const boost::system::error_code&) { client.send(kSubmitRequest); });
   while (monotonicNow() < deadline + 5 * kMs) {
-  }  // busy: the loop does not turn
-  s.turnUntil([&] { return s.taken || s.clients->connectionCount() == 0; });
-  EXPECT_TRUE(s.taken) << "closed with its request unread";
-  s.turnUntil([&] { return s.admission.nextDeadline() > deadline + 30'000 * kMs; });
+  }  // busy: the event loop does not run
+  test.runUntil([&] { return test.submitted || test.server->connectionCount() == 0; });
+  EXPECT_TRUE(test.submitted) << "closed with its request unread";
+  test.runUntil([&] { return test.admission.nextDeadline() > deadline + 30'000 * kMs; });
   EXPECT_EQ("+OK", client.line());
 }
 
-// A drain comes while a whole request is in the socket: it is answered, then the connection ends.
-TEST(ClientsSockets, ARequestThatIsInTheSocketAtADrainIsServed) {
-  Served s(2);
-  loopback::Client client(s.port);
-  s.turnUntil([&] { return s.clients->connectionCount() == 1; });
-  s.io.poll();
-  client.send(kPut);
-  s.clients->startDraining();
-  s.turnUntil([&] { return s.clients->connectionCount() == 0; });
-  EXPECT_TRUE(s.taken);
+// A drain starts while a complete request is in the socket: it is answered, then the connection is closed.
+TEST(ClientServer, ARequestInTheSocketAtTheStartOfADrainIsAnswered) {
+  TestServer test(2);
+  loopback::Client client(test.port);
+  test.runUntil([&] { return test.server->connectionCount() == 1; });
+  test.io.poll();
+  client.send(kSubmitRequest);
+  test.server->startDraining();
+  test.runUntil([&] { return test.server->connectionCount() == 0; });
+  EXPECT_TRUE(test.submitted);
   EXPECT_EQ("+OK", client.line());
   EXPECT_TRUE(client.ended());
 }
 
-// The table is full, and who would make room has just sent a whole request: it is not closed for the next.
-TEST(ClientsSockets, ARequestThatIsInTheSocketOfWhoWouldMakeRoomIsServed) {
-  Served s(1);
-  loopback::Client first(s.port);
-  s.turnUntil([&] { return s.clients->connectionCount() == 1; });
-  s.io.poll();
+// The table is full, and the eviction candidate has just sent a complete request: it is not closed for the
+// next connection.
+TEST(ClientServer, ARequestInTheSocketOfAnEvictionCandidateIsAnswered) {
+  TestServer test(1);
+  loopback::Client first(test.port);
+  test.runUntil([&] { return test.server->connectionCount() == 1; });
+  test.io.poll();
   const Micros silent_from = monotonicNow();
-  loopback::Client next(s.port);  // seen in the loop's next turn, before what the first sends now
+  loopback::Client next(test.port);  // seen when the event loop runs next, before what the first sends now
   while (monotonicNow() < silent_from + 50 * kMs) {
-  }  // busy: the loop does not turn
-  first.send(kPut);
-  s.turnUntil([&] { return s.taken || s.admission.isUnderPressure(); });
-  EXPECT_TRUE(s.taken) << "closed with its request unread";
-  EXPECT_EQ(1u, s.clients->connectionCount());
+  }  // busy: the event loop does not run
+  first.send(kSubmitRequest);
+  test.runUntil([&] { return test.submitted || test.admission.isUnderPressure(); });
+  EXPECT_TRUE(test.submitted) << "closed with its request unread";
+  EXPECT_EQ(1u, test.server->connectionCount());
 }
 
-// New limits have fewer places than there are connections, and a request is in the socket of one that rests.
-TEST(ClientsSockets, ARequestThatIsInTheSocketWhenLimitsAreHalvedIsServed) {
-  Served s(2);
-  loopback::Client rests(s.port), asks(s.port);
-  s.turnUntil([&] { return s.clients->connectionCount() == 2; });
-  s.io.poll();
+// New limits allow fewer connections than there are, and a request is in the socket of an idle one.
+TEST(ClientServer, ARequestInTheSocketWhenLimitsAreHalvedIsAnswered) {
+  TestServer test(2);
+  loopback::Client idle(test.port), other(test.port);
+  test.runUntil([&] { return test.server->connectionCount() == 2; });
+  test.io.poll();
   const Micros silent_from = monotonicNow();
   while (monotonicNow() < silent_from + 50 * kMs) {
-  }  // busy: the loop does not turn
-  rests.send(kPut);
-  s.admission.setBudget(Served::budgetFor(1));
-  s.clients->applyBudget();
-  s.turnUntil([&] { return s.clients->connectionCount() == 1; });
-  s.turnUntil([&] { return s.taken || s.clients->connectionCount() == 0; });
-  EXPECT_TRUE(s.taken) << "closed with its request unread";
-  EXPECT_TRUE(asks.ended());
+  }  // busy: the event loop does not run
+  idle.send(kSubmitRequest);
+  test.admission.setBudget(TestServer::budgetFor(1));
+  test.server->applyBudget();
+  test.runUntil([&] { return test.server->connectionCount() == 1; });
+  test.runUntil([&] { return test.submitted || test.server->connectionCount() == 0; });
+  EXPECT_TRUE(test.submitted) << "closed with its request unread";
+  EXPECT_TRUE(other.ended());
 }
 
-// Two requests in one write, and a drain before the answer to the first: both are answered, then it ends.
-TEST(ClientsSockets, TheSecondOfTwoPipelinedRequestsIsAnsweredInADrain) {
-  Served s(2);
-  loopback::Client client(s.port);
-  s.turnUntil([&] { return s.clients->connectionCount() == 1; });
-  client.send(kPut + kPut);
-  s.turnUntil([&] { return s.taken.has_value(); });  // carried out, its answer on the way
-  s.clients->startDraining();
-  s.turnUntil([&] { return s.clients->connectionCount() == 0; });
+// Two requests in one write, and a drain before the answer to the first: both are answered, then it is
+// closed.
+TEST(ClientServer, TheSecondOfTwoPipelinedRequestsIsAnsweredInADrain) {
+  TestServer test(2);
+  loopback::Client client(test.port);
+  test.runUntil([&] { return test.server->connectionCount() == 1; });
+  client.send(kSubmitRequest + kSubmitRequest);
+  test.runUntil([&] { return test.submitted.has_value(); });  // carried out, its answer on the way
+  test.server->startDraining();
+  test.runUntil([&] { return test.server->connectionCount() == 0; });
   EXPECT_EQ("+OK", client.line());
   EXPECT_EQ("+OK", client.line());
   EXPECT_TRUE(client.ended());
