--- a/src/network/endpoint_pool.h
+++ b/src/network/endpoint_pool.h
@@ -1,6 +1,6 @@
-// Calls to endpoints: the connection pool, and the outcome of each call. No policy: when a call
-// is made and how long it may take is told by the module, how many connections there may be by
-// EndpointConnectionAccounting.
+// Calls to endpoints: the pool of connections, and the outcome of each call. It decides nothing: the decision
+// module says when a call is made and how long it may take, EndpointConnectionAccounting how many connections
+// there may be.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -10,6 +10,8 @@
 #include <memory>
 #include <optional>
 #include <set>
+#include <string>
+#include <vector>
 
 #include "common/call_id.h"
 #include "common/clocks.h"
@@ -21,78 +23,103 @@
 
 class EndpointPool {
  public:
+  // Called from the event loop, never from within startCall() or cancel().
   using OnOutcome = std::function<void(AttemptOutcome)>;
+  // Calls that are not written yet were withdrawn, at the endpoint for a drain, or where a destination is
+  // named for a Retry-After: another process of this sender may have such calls as well.
+  using OnCallsWithdrawn =
+      std::function<void(const std::string& endpoint, std::optional<std::int64_t> destination)>;
   struct Limits {
-    Micros dial_timeout = 0, conn_idle = 0;
+    Micros connect_timeout = 0;
+    Micros idle_timeout = 0;  // after which endpoints close an idle connection; 0: none
   };
-  // A wait was told, or a drain, where no destination is named: another process may have calls there, too.
-  using OnHeld = std::function<void(const std::string& endpoint, std::optional<std::int64_t> destination)>;
+
   EndpointPool(boost::asio::io_context& io, Limits limits, EndpointConnectionAccounting& accounting,
-               OnOutcome on_outcome, OnHeld on_held = {});
+               OnOutcome on_outcome, OnCallsWithdrawn on_calls_withdrawn = {});
 
-  // As listed, new or changed. `apart`: a route of its own, which no wait of another route holds for.
-  void setAddress(const std::string& endpoint, const std::string& address, bool apart = false);
-  // `until`: no answer is waited for any longer, connecting included.
-  void startCall(const AcceptedMessage& m, int attempt, const std::string& endpoint, Deadline until);
-  // False: no such call is out from here. What its answer has told by then still counts.
+  // Of an endpoint that is listed, new or changed. `has_own_route`: a Retry-After of another endpoint of its
+  // destination does not hold for it.
+  void setAddress(const std::string& endpoint, const std::string& address, bool has_own_route = false);
+  std::vector<std::string> knownEndpoints() const;
+  // No answer is awaited after `deadline`, connecting included.
+  void startCall(const AcceptedMessage& message, int attempt, const std::string& endpoint, Deadline deadline);
+  // False: there is no such call here. An answer that has arrived by now still counts.
   bool cancel(const CallId& id);
+  // Calls that are not written yet are withdrawn: they did not run.
+  void onEndpointDraining(const std::string& endpoint);
+  void onRetryAfter(const std::string& endpoint, std::int64_t destination);
   void closeIdle(const std::string& endpoint);
-  std::vector<std::string> knownEndpoints() const;  // those with an address so far
-  void onEndpointDraining(
-      const std::string& endpoint);  // nothing new goes there: what is not written yet never is
   void closeAllIdle();
-  // A wait that another process was told: what is not written yet heeds it.
-  void onRetryAfter(const std::string& endpoint, std::int64_t destination);
-  std::vector<CallId> callsInFlight() const;  // those out, or with an outcome that is still to be told
-  void applyBudget();
-  std::size_t inFlightCount() const { return calls_.size() + untold_.size(); }
-  std::size_t idle() const { return accounting_.idleCount(); }
+  void applyBudget();  // that of the accounting has changed
+
+  std::vector<CallId> callsInFlight() const;  // including those whose outcome is still to be reported
+  std::size_t inFlightCount() const { return calls_.size() + unreported_.size(); }
+  std::size_t idleCount() const { return accounting_.idleCount(); }
 
  private:
-  struct Idle {
+  struct IdleConnection {
     std::unique_ptr<HttpConnection> connection;
-    Micros since = 0;
+    Micros idle_since = 0;
   };
-  struct Peer {
+  struct Endpoint {
     std::string address;
-    bool apart = false;
+    bool has_own_route = false;
   };
+  enum class ConnectionState { none, opening, in_use };  // as the accounting has it
   struct Call {
-    enum class On { none, opening, open };  // whether it has a connection
-    std::unique_ptr<HttpConnection> connection;
-    std::unique_ptr<boost::asio::steady_timer> patience;  // while it waits for one
-    std::string endpoint, address;
     AcceptedMessage message;
-    std::int64_t destination = 0;
-    Micros began = 0;
-    Deadline until;
-    On on = On::none;
-    bool called_off = false, wait_heard = false;
+    std::string endpoint;
+    std::string address;  // its endpoint's, when the connection was chosen
+    Micros started_at = 0;
+    Deadline deadline;
+    std::unique_ptr<HttpConnection> connection;
+    ConnectionState connection_state = ConnectionState::none;
+    std::unique_ptr<boost::asio::steady_timer> queue_timer;  // while it is queued for a connection
+    bool is_cancelled = false;
+    bool retry_after_reported = false;
   };
-  bool start(const CallId& id, Call& call);  // false: it has to wait for a connection
-  void wait(const CallId& id, Call& call);
-  void startWaiting();
-  void withdrawUnwritten(const std::function<bool(const Call&)>& which);
+  using Calls = std::map<CallId, Call>;
+
+  // Starting a call.
+  void startOrQueue(const CallId& id, Call& call);
+  bool tryStart(const CallId& id, Call& call);
+  bool takeIdleConnection(Call& call);
+  bool canOpenConnection(const std::string& endpoint);
+  bool createConnection(Call& call);
+  void sendRequest(const CallId& id, Call& call);
+  void onConnected(const CallId& id);
+  void queueForConnection(const CallId& id, Call& call);
+  void onQueueTimeout(const CallId& id);
+  void startQueued();
+
+  // Ending it.
   void onResponseHead(const CallId& id, const HttpAnswer& head);
-  void releaseConnection(Call& call);  // its connection's place in the budget
   void onExchangeCompleted(const CallId& id, const HttpAnswer& answer);
-  void reportOutcome(const CallId& id, AttemptResult result, Micros began);
-  void keep(Call& call);
-  void closeOldest(const std::string& endpoint);
-  void sweep();
+  AttemptOutcome outcomeOf(const CallId& id, const Call& call, const HttpAnswer& answer) const;
+  void withdrawUnwritten(const std::function<bool(const Call&)>& matches);
+  void reportLater(const CallId& id, AttemptResult result, Micros started_at);
+  void releaseConnection(Call& call);  // in the accounting
+
+  // Idle connections.
+  void keepIdle(Call& call);
+  void closeOldestIdle(const std::string& endpoint);
+  void scheduleIdleSweep();
+  void closeExpiredIdle(Micros now);
+  std::optional<Micros> nextIdleExpiry() const;
+  Micros maxIdleTime() const;
 
   boost::asio::io_context& io_;
   Limits limits_;
   EndpointConnectionAccounting& accounting_;
   OnOutcome on_outcome_;
-  OnHeld on_held_;
-  std::map<std::string, Peer> peers_;             // by endpoint
-  std::map<std::string, std::deque<Idle>> idle_;  // by endpoint, the freshest last
-  std::map<CallId, Call> calls_;
-  std::set<CallId> untold_;     // over, and its outcome is queued
-  std::deque<CallId> waiting_;  // for a connection, the longest first
-  boost::asio::steady_timer sweeper_;
-  bool sweeping_ = false;
+  OnCallsWithdrawn on_calls_withdrawn_;
+  std::map<std::string, Endpoint> endpoints_;
+  std::map<std::string, std::deque<IdleConnection>> idle_;  // by endpoint, the oldest first
+  Calls calls_;
+  std::set<CallId> unreported_;  // ended, the report of the outcome is posted to the event loop
+  std::deque<CallId> queued_;    // for a connection, the oldest first; may name calls that have ended
+  boost::asio::steady_timer idle_timer_;
+  bool idle_sweep_scheduled_ = false;
 };
 
 }  // namespace delivery
--- /dev/null
+++ b/src/protocol/delivery_response.h
@@ -0,0 +1,22 @@
+// Reads an endpoint's HTTP answer to a call into what the decision module is told of it. No sockets.
+#pragma once
+
+#include <optional>
+
+#include "decision/scheduler.h"
+#include "network/http_connection.h"
+
+namespace delivery {
+
+// By the protocol's table of answers; an answer that is not in it is an error.
+AttemptResult attemptResultOf(const HttpAnswer& answer);
+
+// The message needs no further attempt: it was delivered, or is gone.
+bool isMessageFinished(const HttpAnswer& answer);
+
+// From its Retry-After field; 0: none. The head suffices: it counts whatever becomes of the body.
+Micros retryAfterOf(const HttpAnswer& answer);
+
+std::optional<LoadReport> loadReportOf(const HttpAnswer& answer);
+
+}  // namespace delivery
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -230,7 +230,7 @@
   const AttemptOutcome o = p.call("m", 200'000);
   EXPECT_EQ(AttemptResult::timeout, o.result);
   EXPECT_FALSE(o.finished);
-  EXPECT_EQ(0u, p.endpoints.idle());
+  EXPECT_EQ(0u, p.endpoints.idleCount());
 }
 
 TEST(EndpointPool, ARefusedConnectionNeverRan) {
@@ -269,7 +269,7 @@
   p.call("b");
   EXPECT_EQ(s.seen()[0].connection, s.seen()[1].connection);
   p.endpoints.closeIdle("e");
-  EXPECT_EQ(0u, p.endpoints.idle());
+  EXPECT_EQ(0u, p.endpoints.idleCount());
   p.call("c");
   EXPECT_NE(s.seen()[1].connection, s.seen()[2].connection);
 }
@@ -301,10 +301,10 @@
   const std::string fine = answer("200 OK");
   EXPECT_EQ(static_cast<ssize_t>(fine.size()), ::send(fd, fine.data(), fine.size(), MSG_NOSIGNAL));
   EXPECT_EQ(AttemptResult::ok, p.waitFor(1).result);
-  EXPECT_EQ(1u, p.endpoints.idle());
+  EXPECT_EQ(1u, p.endpoints.idleCount());
   p.endpoints.startCall(p.message("second"), 0, "e",
                         within(60'000'000));  // chosen, to be written in the next turn
-  EXPECT_EQ(0u, p.endpoints.idle());
+  EXPECT_EQ(0u, p.endpoints.idleCount());
   ::close(fd);  // on loopback its end is there at once
   ::fcntl(endpoint.fd, F_SETFL, O_NONBLOCK);
   int next = -1;
@@ -325,13 +325,13 @@
   Pool p(100'000);
   p.endpoints.setAddress("e", s.address());
   p.call("a");
-  EXPECT_EQ(1u, p.endpoints.idle());
+  EXPECT_EQ(1u, p.endpoints.idleCount());
   const auto until = std::chrono::steady_clock::now() + loopback::kLong;
-  while (p.endpoints.idle() > 0 && std::chrono::steady_clock::now() < until) {
+  while (p.endpoints.idleCount() > 0 && std::chrono::steady_clock::now() < until) {
     p.io.restart();
     p.io.run_one_for(std::chrono::seconds(1));
   }
-  EXPECT_EQ(0u, p.endpoints.idle());
+  EXPECT_EQ(0u, p.endpoints.idleCount());
 }
 
 TEST(EndpointPool, ACallIsCalledOffByClosingAndHasOneOutcome) {
@@ -385,7 +385,7 @@
   EXPECT_EQ(8u, s.seen().size());
   for (const AttemptOutcome& o : p.outcomes)
     EXPECT_EQ(AttemptResult::ok, o.result);
-  EXPECT_EQ(static_cast<std::int64_t>(p.endpoints.idle()), p.connections.connectionCount());
+  EXPECT_EQ(static_cast<std::int64_t>(p.endpoints.idleCount()), p.connections.connectionCount());
 }
 
 // A wait that a destination tells, and a drain, hold for calls that wait for a connection and for those whose
@@ -552,10 +552,10 @@
   for (int i = 0; i < 8; ++i)
     p.endpoints.startCall(p.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
   p.waitFor(8);
-  EXPECT_EQ(3u, p.endpoints.idle());
+  EXPECT_EQ(3u, p.endpoints.idleCount());
   p.endpoints.startCall(p.message("first"), 0, "f", within(60'000'000));
   p.waitFor(9);
-  EXPECT_EQ(3u, p.endpoints.idle());
+  EXPECT_EQ(3u, p.endpoints.idleCount());
   p.endpoints.startCall(p.message("again"), 0, "f", within(60'000'000));
   p.waitFor(10);
   EXPECT_EQ(s.seen()[8].connection, s.seen()[9].connection);
