--- a/src/network/control_server.cpp
+++ b/src/network/control_server.cpp
@@ -1,9 +1,10 @@
-// The server for operators; see control_server.h.
 #include "network/control_server.h"
 
+#include <algorithm>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
 #include <chrono>
+#include <utility>
 
 #include "common/clocks.h"
 
@@ -14,127 +15,188 @@
 using boost::system::error_code;
 
 namespace {
-constexpr std::size_t kLongestLine = 64;
-constexpr std::chrono::milliseconds kRetryAccept{20};
-}  // namespace
 
-struct ControlServer::Session : std::enable_shared_from_this<Session> {
-  Session(ControlServer& c, tcp::socket s, ConnectionId i) : control(c), socket(std::move(s)), id(i) {}
+constexpr std::size_t kMaxLineBytes = 64;
+constexpr std::chrono::milliseconds kAcceptRetryInterval{20};
+
+}  // namespace
 
-  ControlServer& control;
-  tcp::socket socket;
-  const ConnectionId id;
-  std::string in, out;
-  char piece[256];
-  bool open = true;
+class ControlServer::Session : public std::enable_shared_from_this<Session> {
+ public:
+  Session(ControlServer& server, tcp::socket socket, ConnectionId id)
+      : server_(server), socket_(std::move(socket)), id_(id) {}
 
   void read() {
-    socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](error_code e, std::size_t n) {
-      if (!self->open)
-        return;
-      if (e)
-        return e == asio::error::eof ? self->answer("ERR no whole line") : self->close();
-      self->in.append(self->piece, n);
-      const auto end = self->in.find('\n');
-      if (std::min(end, self->in.size()) > kLongestLine)
-        return self->answer("ERR line too long");
-      if (end == std::string::npos)
-        return self->read();
-      self->in.resize(end > 0 && self->in[end - 1] == '\r' ? end - 1 : end);
-      self->answer(self->control.on_call_(self->in));
-    });
+    socket_.async_read_some(asio::buffer(read_buffer_),
+                            [self = shared_from_this()](error_code error, std::size_t count) {
+                              if (self->is_open_) {
+                                self->onRead(error, count);
+                              }
+                            });
   }
 
-  void answer(const std::string& reply) {
-    out = reply + "\n";
-    asio::async_write(socket, asio::buffer(out), [self = shared_from_this()](error_code e, std::size_t) {
-      if (!self->open)
-        return;
-      if (e)
-        return self->close();
-      error_code ignored;
-      self->socket.shutdown(tcp::socket::shutdown_send, ignored);
-      self->discard();
-    });
+  void close() {
+    if (!is_open_) {
+      return;
+    }
+    const auto keep_alive = shared_from_this();
+    closeSocket();
+    server_.sessions_.erase(id_);
   }
 
-  // Reads on until the caller ends: a close with input unread would take the reply with it.
-  void discard() {
-    socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](error_code e, std::size_t) {
-      if (!self->open)
-        return;
-      e ? self->close() : self->discard();
-    });
+  // Leaves the session in the server's table.
+  void closeSocket() {
+    is_open_ = false;
+    server_.admission_.onClosed(id_);
+    error_code ignored;
+    socket_.close(ignored);
   }
 
-  void close() {
-    if (!open)
-      return;
-    const auto keep = shared_from_this();
-    end();
-    control.sessions_.erase(id);
+ private:
+  void onRead(error_code error, std::size_t count) {
+    if (error == asio::error::eof) {
+      reply("ERR no whole line");
+    } else if (error) {
+      close();
+    } else {
+      onInput(count);
+    }
   }
-  void end() {
-    open = false;
-    control.admission_.onClosed(id);
+
+  void onInput(std::size_t count) {
+    input_.append(read_buffer_, count);
+    const std::size_t line_end = input_.find('\n');
+    if (std::min(line_end, input_.size()) > kMaxLineBytes) {
+      reply("ERR line too long");
+    } else if (line_end == std::string::npos) {
+      read();
+    } else {
+      const bool has_carriage_return = line_end > 0 && input_[line_end - 1] == '\r';
+      input_.resize(has_carriage_return ? line_end - 1 : line_end);
+      reply(server_.on_command_(input_));
+    }
+  }
+
+  void reply(const std::string& line) {
+    output_ = line + "\n";
+    asio::async_write(socket_, asio::buffer(output_),
+                      [self = shared_from_this()](error_code error, std::size_t) {
+                        if (self->is_open_) {
+                          self->onWritten(error);
+                        }
+                      });
+  }
+
+  void onWritten(error_code error) {
+    if (error) {
+      close();
+      return;
+    }
     error_code ignored;
-    socket.close(ignored);
+    socket_.shutdown(tcp::socket::shutdown_send, ignored);
+    discardInput();
   }
+
+  // Reads on until the peer closes: a close with unread input would discard the reply.
+  void discardInput() {
+    socket_.async_read_some(asio::buffer(read_buffer_),
+                            [self = shared_from_this()](error_code error, std::size_t) {
+                              if (!self->is_open_) {
+                                return;
+                              }
+                              if (error) {
+                                self->close();
+                              } else {
+                                self->discardInput();
+                              }
+                            });
+  }
+
+  ControlServer& server_;
+  tcp::socket socket_;
+  const ConnectionId id_;
+  std::string input_;
+  std::string output_;
+  char read_buffer_[256];
+  bool is_open_ = true;
 };
 
-ControlServer::ControlServer(asio::io_context& io, const tcp::endpoint& listen, ControlAdmission& admission,
-                             OnCall on_call)
-    : acceptor_(io, listen), pause_(io), deadline_(io), admission_(admission), on_call_(std::move(on_call)) {
+ControlServer::ControlServer(asio::io_context& io, const tcp::endpoint& address, ControlAdmission& admission,
+                             OnCommand on_command)
+    : acceptor_(io, address),
+      accept_timer_(io),
+      deadline_timer_(io),
+      admission_(admission),
+      on_command_(std::move(on_command)) {
   accept();
 }
 
 ControlServer::~ControlServer() {
-  for (const auto& [id, s] : sessions_)
-    s->end();
+  for (const auto& [id, session] : sessions_) {
+    session->closeSocket();
+  }
 }
 
 void ControlServer::accept() {
-  acceptor_.async_accept([this](error_code e, tcp::socket s) {
-    if (e == asio::error::operation_aborted)
+  acceptor_.async_accept([this](error_code error, tcp::socket socket) {
+    if (error == asio::error::operation_aborted) {
       return;
-    if (e &&
-        e != asio::error::connection_aborted) {  // out of descriptors, say: try again soon rather than spin
-      pause_.expires_after(kRetryAccept);
-      pause_.async_wait([this](error_code stopped) {
-        if (!stopped)
-          accept();
-      });
+    }
+    if (error && error != asio::error::connection_aborted) {
+      acceptLater();  // out of descriptors, for instance
       return;
     }
-    if (!e) {
-      if (const auto oldest = admission_.evictionCandidate())
-        sessions_.at(*oldest)->close();
-      const ConnectionId id = admission_.onAccepted(monotonicNow());
-      const auto session = sessions_.emplace(id, std::make_shared<Session>(*this, std::move(s), id)).first;
-      session->second->read();
-      watchDeadlines();
+    if (!error) {
+      onAccepted(std::move(socket));
     }
     accept();
   });
 }
 
-void ControlServer::watchDeadlines() {
+void ControlServer::acceptLater() {
+  accept_timer_.expires_after(kAcceptRetryInterval);
+  accept_timer_.async_wait([this](error_code cancelled) {
+    if (!cancelled) {
+      accept();
+    }
+  });
+}
+
+void ControlServer::onAccepted(tcp::socket socket) {
+  if (const auto candidate = admission_.evictionCandidate()) {
+    sessions_.at(*candidate)->close();
+  }
+  const ConnectionId id = admission_.onAccepted(monotonicNow());
+  const auto session = std::make_shared<Session>(*this, std::move(socket), id);
+  sessions_.emplace(id, session);
+  session->read();
+  scheduleDeadlines();
+}
+
+void ControlServer::scheduleDeadlines() {
   const Micros next = admission_.nextDeadline();
-  if (watching_ || next == kNoDeadline)
+  if (deadlines_scheduled_ || next == kNoDeadline) {
     return;
-  watching_ = true;
-  deadline_.expires_after(std::chrono::microseconds(std::max<Micros>(0, next - monotonicNow())));
-  deadline_.async_wait([this](error_code stopped) {
-    if (stopped)
+  }
+  deadlines_scheduled_ = true;
+  deadline_timer_.expires_after(std::chrono::microseconds(std::max<Micros>(0, next - monotonicNow())));
+  deadline_timer_.async_wait([this](error_code cancelled) {
+    if (cancelled) {
       return;
-    watching_ = false;
-    for (const ConnectionId id : admission_.overdue(monotonicNow())) {
-      const auto it = sessions_.find(id);
-      if (it != sessions_.end())
-        it->second->close();
     }
-    watchDeadlines();
+    deadlines_scheduled_ = false;
+    closeOverdue();
+    scheduleDeadlines();
   });
 }
 
+void ControlServer::closeOverdue() {
+  for (const ConnectionId id : admission_.overdue(monotonicNow())) {
+    const auto entry = sessions_.find(id);
+    if (entry != sessions_.end()) {
+      entry->second->close();
+    }
+  }
+}
+
 }  // namespace delivery
--- a/src/network/control_server.h
+++ b/src/network/control_server.h
@@ -1,5 +1,5 @@
-// The server for operators: one line a connection, one reply line that begins with OK or ERR. Who
-// is accepted and for how long is decided by ControlAdmission.
+// The server at the control address, for operators: one line a connection, answered by one line that begins
+// with OK or ERR. ControlAdmission decides how many connections there are, and for how long.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,26 +16,32 @@
 
 class ControlServer {
  public:
-  using OnCall = std::function<std::string(const std::string& line)>;  // the reply, without its end
+  using OnCommand =
+      std::function<std::string(const std::string& line)>;  // answers the reply, without its end
 
-  ControlServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
-                ControlAdmission& admission,
-                OnCall on_call);  // throws when it can't listen
+  // Throws boost::system::system_error when the address can't be listened on.
+  ControlServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
+                ControlAdmission& admission, OnCommand on_command);
   ~ControlServer();
   ControlServer(const ControlServer&) = delete;
   ControlServer& operator=(const ControlServer&) = delete;
 
  private:
-  struct Session;
+  class Session;
+
   void accept();
-  void watchDeadlines();
+  void acceptLater();
+  void onAccepted(boost::asio::ip::tcp::socket socket);
+  void scheduleDeadlines();
+  void closeOverdue();
 
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_, deadline_;
+  boost::asio::steady_timer accept_timer_;
+  boost::asio::steady_timer deadline_timer_;
   ControlAdmission& admission_;
-  OnCall on_call_;
+  OnCommand on_command_;
   std::map<ConnectionId, std::shared_ptr<Session>> sessions_;
-  bool watching_ = false;
+  bool deadlines_scheduled_ = false;
 };
 
 }  // namespace delivery
--- a/src/network/listener.cpp
+++ b/src/network/listener.cpp
@@ -1,4 +1,3 @@
-// Listening sockets; see listener.h.
 #include "network/listener.h"
 
 #include <fcntl.h>
@@ -10,37 +9,59 @@
 namespace delivery {
 
 using boost::asio::ip::tcp;
-using boost::system::error_code;
-using boost::system::system_error;
+
+namespace {
+
+[[noreturn]] void throwError(int error_number) {
+  using namespace boost::system;
+  throw system_error(error_code(error_number, system_category()), "the passed socket");
+}
+
+void throwIfFailed(int result) {
+  if (result < 0) {
+    throwError(errno);
+  }
+}
+
+int socketOption(int descriptor, int option) {
+  int value = 0;
+  socklen_t size = sizeof value;
+  throwIfFailed(::getsockopt(descriptor, SOL_SOCKET, option, &value, &size));
+  return value;
+}
+
+// AF_INET or AF_INET6; throws for all else.
+int tcpFamily(int descriptor) {
+  const int type = socketOption(descriptor, SO_TYPE);
+  sockaddr_storage address{};
+  socklen_t size = sizeof address;
+  throwIfFailed(::getsockname(descriptor, reinterpret_cast<sockaddr*>(&address), &size));
+  const bool is_internet = address.ss_family == AF_INET || address.ss_family == AF_INET6;
+  if (type != SOCK_STREAM || !is_internet) {
+    throwError(EPROTOTYPE);
+  }
+  return address.ss_family;
+}
+
+// The platform may have bound the socket alone.
+void ensureListening(int descriptor) {
+  if (socketOption(descriptor, SO_ACCEPTCONN) == 0) {
+    throwIfFailed(::listen(descriptor, SOMAXCONN));
+  }
+}
+
+}  // namespace
 
 tcp::acceptor listenAt(boost::asio::io_context& io, const tcp::endpoint& address) {
   return tcp::acceptor(io, address);  // with SO_REUSEADDR
 }
 
-tcp::acceptor listenOnPassed(boost::asio::io_context& io, int descriptor) {
-  const auto fail = [](const char* what) {
-    throw system_error(error_code(errno, boost::system::system_category()), what);
-  };
-  int type = 0, listens = 0;
-  socklen_t size = sizeof type;
-  if (::getsockopt(descriptor, SOL_SOCKET, SO_TYPE, &type, &size) != 0)
-    fail("the passed socket");
-  sockaddr_storage bound{};
-  socklen_t length = sizeof bound;
-  if (::getsockname(descriptor, reinterpret_cast<sockaddr*>(&bound), &length) != 0)
-    fail("the passed socket");
-  if (type != SOCK_STREAM || (bound.ss_family != AF_INET && bound.ss_family != AF_INET6)) {
-    errno = EPROTOTYPE;
-    fail("the passed socket");
-  }
-  size = sizeof listens;
-  ::getsockopt(descriptor, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size);
-  if (!listens && ::listen(descriptor, SOMAXCONN) != 0)
-    fail("the passed socket");
-  const int own = ::fcntl(descriptor, F_DUPFD_CLOEXEC, 0);
-  if (own < 0)
-    fail("the passed socket");
-  return tcp::acceptor(io, bound.ss_family == AF_INET ? tcp::v4() : tcp::v6(), own);
+tcp::acceptor listenOnInherited(boost::asio::io_context& io, int descriptor) {
+  const int family = tcpFamily(descriptor);
+  ensureListening(descriptor);
+  const int duplicate = ::fcntl(descriptor, F_DUPFD_CLOEXEC, 0);
+  throwIfFailed(duplicate);
+  return tcp::acceptor(io, family == AF_INET ? tcp::v4() : tcp::v6(), duplicate);
 }
 
 }  // namespace delivery
--- a/src/process/active_role.cpp
+++ b/src/process/active_role.cpp
@@ -14,7 +14,7 @@
 tcp::acceptor listenForClients(asio::io_context& io, const Configuration& configuration) {
   if (configuration.passed_socket) {
     try {
-      return listenOnPassed(io, *configuration.passed_socket);
+      return listenOnInherited(io, *configuration.passed_socket);
     } catch (const boost::system::system_error& error) {
       logWarning("process", "passed_socket_unusable")
           .field("reason", error.what())
