--- a/src/network/descriptor_budget.cpp
+++ b/src/network/descriptor_budget.cpp
@@ -42,7 +42,7 @@
   return capacity;
 }
 
-std::size_t pooledBytes(const ProcessLimits& limits) {
+std::size_t bufferPoolBytes(const ProcessLimits& limits) {
   const auto bytes =
       static_cast<std::size_t>(std::max<std::int64_t>(0, limits.memory_bytes / kPooledMemoryDivisor));
   if (bytes < kLongestRequest) {
@@ -57,7 +57,7 @@
 DescriptorBudget computeDescriptorBudget(const ProcessLimits& limits, bool shares_with_older) {
   const std::int64_t capacity = sharedCapacity(limits);
   DescriptorBudget budget;
-  budget.max_pooled_bytes = pooledBytes(limits);
+  budget.max_pooled_bytes = bufferPoolBytes(limits);
   // Idle connections have a part of their own, which a crowd of clients can't fill.
   budget.max_idle_connections = capacity / kIdleConnectionsDivisor;
   budget.max_endpoint_connections = limits.call_slots + budget.max_idle_connections;
--- a/tests/network/client_admission_test.cpp
+++ b/tests/network/client_admission_test.cpp
@@ -14,6 +14,8 @@
 namespace delivery {
 namespace {
 
+constexpr std::size_t kReadBytes = 16384;  // that one read takes at most
+
 TEST(ClientAdmission, DeadlinesAreThoseOfEachState) {
   ClientAdmission clients(smallBudget(10));
   const ConnectionId id = clients.onAccepted("a", 0);
@@ -23,63 +25,64 @@
   EXPECT_EQ(1500 * kMs, clients.deadline(id));
   clients.onBytesReceived(id, 5, 700 * kMs);
   clients.onRequestPartial(id, 700 * kMs);
-  EXPECT_EQ(1500 * kMs, clients.deadline(id)) << "not prolonged by what drips in";
+  EXPECT_EQ(1500 * kMs, clients.deadline(id)) << "not prolonged by bytes that arrive one by one";
   EXPECT_EQ(RequestTurn::now, clients.onRequestComplete(id, 800 * kMs));
-  EXPECT_EQ(kNoDeadline, clients.deadline(id)) << "the module answers in its turn";
+  EXPECT_EQ(kNoDeadline, clients.deadline(id)) << "the decision module replies in its turn";
   clients.onRequestConsumed(id, 0);
   clients.onReplyStarted(id, false, 900 * kMs);
-  EXPECT_EQ(1900 * kMs, clients.deadline(id)) << "for the answer to be taken";
+  EXPECT_EQ(1900 * kMs, clients.deadline(id)) << "for the reply to be taken";
   EXPECT_EQ(AfterReply::keep_open, clients.onReplyWritten(id, false, kSecond));
-  EXPECT_EQ(3 * kSecond, clients.deadline(id)) << "nothing useful came";
+  EXPECT_EQ(3 * kSecond, clients.deadline(id)) << "nothing was submitted";
   clients.onBytesReceived(id, 5, 2500 * kMs);
   clients.onRequestPartial(id, 2500 * kMs);
-  EXPECT_EQ(3 * kSecond, clients.deadline(id)) << "not prolonged by a request begun late";
+  EXPECT_EQ(3 * kSecond, clients.deadline(id)) << "not prolonged by a request that begins late";
   clients.onRequestMalformed(id, 2600 * kMs);
   EXPECT_EQ(3600 * kMs, clients.deadline(id));
   EXPECT_TRUE(clients.overdue(3600 * kMs - 1).empty());
   EXPECT_EQ(std::vector<ConnectionId>{id}, clients.overdue(3600 * kMs));
-  const ConnectionId rests = submittedAndIdle(clients, "a", 0);
-  EXPECT_EQ(60 * kSecond, clients.deadline(rests)) << "its machine may have vanished";
-  clients.onBytesReceived(rests, 5, kSecond);
-  clients.onRequestPartial(rests, kSecond);
-  EXPECT_EQ(2 * kSecond, clients.deadline(rests));
+  const ConnectionId idle = submittedAndIdle(clients, "a", 0);
+  EXPECT_EQ(60 * kSecond, clients.deadline(idle)) << "its machine may have vanished";
+  clients.onBytesReceived(idle, 5, kSecond);
+  clients.onRequestPartial(idle, kSecond);
+  EXPECT_EQ(2 * kSecond, clients.deadline(idle));
 }
 
-// One whose deadline comes while its request waits unread in the socket: that is read first, and once.
+// The deadline passes while a request is unread in the socket: that is read first, and once.
 TEST(ClientAdmission, UnreadInputIsReadOnceBeforeAnOverdueConnectionIsClosed) {
   ClientAdmission clients(smallBudget(10));
-  const ConnectionId rests = submittedAndIdle(clients, "a", 0), half = clients.onAccepted("a", 0),
+  const ConnectionId idle = submittedAndIdle(clients, "a", 0), partial = clients.onAccepted("a", 0),
                      silent = clients.onAccepted("a", 0);
-  clients.onBytesReceived(half, 5, 0);
-  clients.onRequestPartial(half, 0);
+  clients.onBytesReceived(partial, 5, 0);
+  clients.onRequestPartial(partial, 0);
   EXPECT_TRUE(clients.mayCloseOverdue(silent, false, 2 * kSecond));
-  for (const ConnectionId id : {rests, half}) {
+  for (const ConnectionId id : {idle, partial}) {
     EXPECT_FALSE(clients.mayCloseOverdue(id, true, 60 * kSecond));
     EXPECT_EQ(60 * kSecond + 20 * kMs, clients.deadline(id));
   }
-  clients.onBytesReceived(rests, 100, 60 * kSecond);
-  ASSERT_EQ(RequestTurn::now, clients.onRequestComplete(rests, 60 * kSecond));
-  clients.onRequestConsumed(rests, 0);
-  EXPECT_TRUE(clients.mayCloseOverdue(rests, true, 61 * kSecond)) << "it does not take its answer";
-  clients.onBytesReceived(half, 5, 60 * kSecond);
-  clients.onRequestPartial(half, 60 * kSecond);
-  EXPECT_TRUE(clients.mayCloseOverdue(half, true, 60 * kSecond + 20 * kMs))
-      << "what drips in prolongs nothing";
-  clients.onReplyStarted(rests, true, 60 * kSecond);
-  ASSERT_EQ(AfterReply::keep_open, clients.onReplyWritten(rests, false, 60 * kSecond));
-  EXPECT_FALSE(clients.mayCloseOverdue(rests, true, 120 * kSecond)) << "the next request has its own";
+  clients.onBytesReceived(idle, 100, 60 * kSecond);
+  ASSERT_EQ(RequestTurn::now, clients.onRequestComplete(idle, 60 * kSecond));
+  clients.onRequestConsumed(idle, 0);
+  EXPECT_TRUE(clients.mayCloseOverdue(idle, true, 61 * kSecond)) << "it does not take its reply";
+  clients.onBytesReceived(partial, 5, 60 * kSecond);
+  clients.onRequestPartial(partial, 60 * kSecond);
+  EXPECT_TRUE(clients.mayCloseOverdue(partial, true, 60 * kSecond + 20 * kMs))
+      << "bytes that arrive one by one prolong nothing";
+  clients.onReplyStarted(idle, true, 60 * kSecond);
+  ASSERT_EQ(AfterReply::keep_open, clients.onReplyWritten(idle, false, 60 * kSecond));
+  EXPECT_FALSE(clients.mayCloseOverdue(idle, true, 120 * kSecond))
+      << "the next request has a grace read of its own";
 }
 
 TEST(ClientAdmission, ADrainClosesIdleConnectionsAndShortensTheDeadlinesOfNewOnes) {
   ClientAdmission clients(smallBudget(10));
-  const ConnectionId rests = submittedAndIdle(clients, "a", 0);
-  const ConnectionId silent = clients.onAccepted("a", 0), in_a_request = clients.onAccepted("a", 0);
-  clients.onBytesReceived(in_a_request, 10, kSecond);
-  clients.onRequestPartial(in_a_request, kSecond);
-  const ConnectionId just_come = clients.onAccepted("a", kSecond);
-  EXPECT_EQ((std::vector<ConnectionId>{rests, silent}), clients.startDraining(kSecond + 50 * kMs));
-  EXPECT_EQ(2 * kSecond + 50 * kMs, clients.deadline(just_come));
-  EXPECT_EQ(2 * kSecond, clients.deadline(in_a_request));
+  const ConnectionId idle = submittedAndIdle(clients, "a", 0);
+  const ConnectionId silent = clients.onAccepted("a", 0), reading = clients.onAccepted("a", 0);
+  clients.onBytesReceived(reading, 10, kSecond);
+  clients.onRequestPartial(reading, kSecond);
+  const ConnectionId just_accepted = clients.onAccepted("a", kSecond);
+  EXPECT_EQ((std::vector<ConnectionId>{idle, silent}), clients.startDraining(kSecond + 50 * kMs));
+  EXPECT_EQ(2 * kSecond + 50 * kMs, clients.deadline(just_accepted));
+  EXPECT_EQ(2 * kSecond, clients.deadline(reading));
   const ConnectionId late = clients.onAccepted("a", 2 * kSecond);
   EXPECT_EQ(3 * kSecond, clients.deadline(late));
   clients.onBytesReceived(late, 10, 2 * kSecond);
@@ -87,27 +90,28 @@
   clients.onRequestConsumed(late, 0);
   clients.onReplyStarted(late, true, 2 * kSecond);
   EXPECT_EQ(AfterReply::close, clients.onReplyWritten(late, false, 2 * kSecond))
-      << "it is closed once answered";
+      << "closed once it is answered";
 }
 
-// One that pipelines gets one request in turn with the others.
+// A connection that pipelines takes turns with the others, one request at a time.
 TEST(ClientAdmission, RequestsTakeTurnsWhileMoreAreCompleteThanMayBeOpen) {
   ClientAdmission clients(smallBudget(10, 1));
-  const ConnectionId greedy = clients.onAccepted("a", 0), plain = clients.onAccepted("b", 0);
-  clients.onBytesReceived(greedy, 1000, 0);
-  clients.onBytesReceived(plain, 100, 0);
-  ASSERT_EQ(RequestTurn::now, clients.onRequestComplete(greedy, 0));
-  clients.onRequestConsumed(greedy, 900);
-  EXPECT_EQ(RequestTurn::queued, clients.onRequestComplete(plain, 0));
+  const ConnectionId pipelining = clients.onAccepted("a", 0), single = clients.onAccepted("b", 0);
+  clients.onBytesReceived(pipelining, 1000, 0);
+  clients.onBytesReceived(single, 100, 0);
+  ASSERT_EQ(RequestTurn::now, clients.onRequestComplete(pipelining, 0));
+  clients.onRequestConsumed(pipelining, 900);
+  EXPECT_EQ(RequestTurn::queued, clients.onRequestComplete(single, 0));
   EXPECT_FALSE(clients.nextQueuedRequest());
-  clients.onReplyStarted(greedy, true, 0);
-  ASSERT_EQ(AfterReply::keep_open, clients.onReplyWritten(greedy, true, 0));
-  EXPECT_EQ(plain, *clients.nextQueuedRequest());
-  EXPECT_EQ(RequestTurn::queued, clients.onRequestComplete(greedy, 0)) << "the other one is in its request";
-  clients.onRequestConsumed(plain, 0);
-  clients.onReplyStarted(plain, true, 0);
-  ASSERT_EQ(AfterReply::keep_open, clients.onReplyWritten(plain, false, 0));
-  EXPECT_EQ(greedy, *clients.nextQueuedRequest());
+  clients.onReplyStarted(pipelining, true, 0);
+  ASSERT_EQ(AfterReply::keep_open, clients.onReplyWritten(pipelining, true, 0));
+  EXPECT_EQ(single, *clients.nextQueuedRequest());
+  EXPECT_EQ(RequestTurn::queued, clients.onRequestComplete(pipelining, 0))
+      << "the request of the other one is open";
+  clients.onRequestConsumed(single, 0);
+  clients.onReplyStarted(single, true, 0);
+  ASSERT_EQ(AfterReply::keep_open, clients.onReplyWritten(single, false, 0));
+  EXPECT_EQ(pipelining, *clients.nextQueuedRequest());
   EXPECT_FALSE(clients.nextQueuedRequest());
 }
 
@@ -116,9 +120,9 @@
   const ConnectionId a = clients.onAccepted("a", 0), b = clients.onAccepted("b", 0),
                      later = clients.onAccepted("c", 0);
   for (const ConnectionId id : {a, b}) {
-    std::size_t most = 0;
-    while ((most = clients.readAllowance(id)) > 0) {
-      clients.onBytesReceived(id, std::min<std::size_t>(most, 16384), 0);
+    for (std::size_t allowance = clients.readAllowance(id); allowance > 0;
+         allowance = clients.readAllowance(id)) {
+      clients.onBytesReceived(id, std::min(allowance, kReadBytes), 0);
       clients.onRequestPartial(id, 0);
     }
   }
@@ -127,14 +131,14 @@
   EXPECT_FALSE(clients.nextResumedReader());
   EXPECT_EQ(kUnpooledBytes, clients.readAllowance(later)) << "a short request is read all the same";
   EXPECT_FALSE(clients.bufferEvictionCandidate(400 * kMs));
-  EXPECT_EQ(a, *clients.bufferEvictionCandidate(kSecond)) << "the peer that has the most buffered";
+  EXPECT_EQ(a, *clients.bufferEvictionCandidate(kSecond)) << "the peer with the most buffered bytes";
   clients.onClosed(a);
   EXPECT_EQ(b, *clients.nextResumedReader());
   EXPECT_GT(clients.readAllowance(b), 0u);
   EXPECT_LE(clients.readAllowance(b), kLongestRequest);
 }
 
-// A crowd of random peers, with the table, requests and bytes under pressure, and budgets that change.
+// A crowd of random peers: the table, open requests and buffers are under pressure, and budgets change.
 class Crowd {
  public:
   explicit Crowd(unsigned seed) : random_(seed), clients_(smallBudget(20, 5)) {}
@@ -143,18 +147,18 @@
     now_ += randomBelow(30) * kMs;
     for (const ConnectionId id : clients_.overdue(now_)) {
       ASSERT_NE(ClientState::awaiting_reply == clients_.state(id) && !replying_.count(id), true)
-          << "an unanswered request went";
+          << "an unanswered request was closed";
       close(id);
     }
     if (randomBelow(50) == 0) {
-      DescriptorBudget b = smallBudget(5 + randomBelow(20), 1 + randomBelow(8));
-      b.max_pooled_bytes = kLongestRequest + static_cast<std::size_t>(randomBelow(200'000));
-      clients_.setBudget(b);
+      DescriptorBudget budget = smallBudget(5 + randomBelow(20), 1 + randomBelow(8));
+      budget.max_pooled_bytes = kLongestRequest + static_cast<std::size_t>(randomBelow(200'000));
+      clients_.setBudget(budget);
       is_shrinking_ = true;
     }
-    for (int n = randomBelow(3); n > 0; --n)
+    for (int count = randomBelow(3); count > 0; --count)
       connectOne();
-    for (int n = randomBelow(8); n > 0 && !connections_.empty(); --n)
+    for (int count = randomBelow(8); count > 0 && !connections_.empty(); --count)
       act(randomConnection());
     while (const auto id = clients_.nextQueuedRequest())
       open_requests_.insert(*id);
@@ -167,7 +171,7 @@
   }
 
  private:
-  int randomBelow(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
+  int randomBelow(int limit) { return static_cast<int>(random_() % static_cast<unsigned>(limit)); }
   ConnectionId randomConnection() {
     return *std::next(connections_.begin(), randomBelow(static_cast<int>(connections_.size())));
   }
@@ -178,14 +182,13 @@
       if (!id)
         return;
       ASSERT_NE(ClientState::awaiting_reply, clients_.state(*id)) << "an open request was evicted";
-      std::map<std::string, int> held;
-      for (const ConnectionId i : connections_)
-        ++held[peers_[i]];
-      for (const ConnectionId i :
-           connections_)  // a never useful one that has long been silent, of a peer that holds more
-        if (held[peers_[i]] > held[peers_[*id]]) {
-          ASSERT_FALSE(clients_.state(i) == ClientState::awaiting_first_request &&
-                       now_ - accepted_at_[i] > kSecond)
+      std::map<std::string, int> connections_of;
+      for (const ConnectionId other : connections_)
+        ++connections_of[peers_[other]];
+      for (const ConnectionId other : connections_)  // unproductive, long silent, of a peer that holds more
+        if (connections_of[peers_[other]] > connections_of[peers_[*id]]) {
+          ASSERT_FALSE(clients_.state(other) == ClientState::awaiting_first_request &&
+                       now_ - accepted_at_[other] > kSecond)
               << "not max-min fair";
         }
       close(*id);
@@ -200,12 +203,13 @@
   }
 
   void send(ConnectionId id) {
-    const std::size_t most = clients_.readAllowance(id);
-    if (most == 0)
+    const std::size_t allowance = clients_.readAllowance(id);
+    if (allowance == 0)
       return;
-    clients_.onBytesReceived(
-        id, 1 + static_cast<std::size_t>(randomBelow(static_cast<int>(std::min<std::size_t>(most, 16384)))),
-        now_);
+    clients_.onBytesReceived(id,
+                             1 + static_cast<std::size_t>(randomBelow(
+                                     static_cast<int>(std::min<std::size_t>(allowance, kReadBytes)))),
+                             now_);
     if (randomBelow(3) == 0) {
       if (clients_.onRequestComplete(id, now_) == RequestTurn::now)
         open_requests_.insert(id);
@@ -252,19 +256,19 @@
   }
 
   void check() {
-    const DescriptorBudget& b = clients_.budget();
+    const DescriptorBudget& budget = clients_.budget();
     ASSERT_EQ(connections_.size(), clients_.size());
     ASSERT_EQ(static_cast<std::int64_t>(open_requests_.size()), clients_.openRequests());
-    const bool over = static_cast<std::int64_t>(clients_.size()) > b.max_clients ||
-                      clients_.openRequests() > b.max_open_requests ||
-                      clients_.pooledByteCount() > b.max_pooled_bytes;
-    ASSERT_TRUE(!over || is_shrinking_) << "over the budget";
-    if (!over)
+    const bool is_over = static_cast<std::int64_t>(clients_.size()) > budget.max_clients ||
+                         clients_.openRequests() > budget.max_open_requests ||
+                         clients_.pooledByteCount() > budget.max_pooled_bytes;
+    ASSERT_TRUE(!is_over || is_shrinking_) << "over the budget";
+    if (!is_over)
       is_shrinking_ = false;
     for (const ConnectionId id : connections_) {
       if (clients_.state(id) == ClientState::awaiting_reply && !replying_.count(id))
         continue;
-      ASSERT_GT(clients_.deadline(id), now_) << "past its deadline, and still there";
+      ASSERT_GT(clients_.deadline(id), now_) << "past its deadline, and still open";
       ASSERT_LE(clients_.deadline(id), now_ + 60 * kSecond);
     }
     while (clients_.isOverCapacity()) {
@@ -288,7 +292,7 @@
   for (unsigned seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE(seed);
     Crowd crowd(seed);
-    for (int i = 0; i < 3000; ++i) {
+    for (int step = 0; step < 3000; ++step) {
       crowd.step();
       if (::testing::Test::HasFatalFailure())
         return;
--- a/tests/network/client_eviction_test.cpp
+++ b/tests/network/client_eviction_test.cpp
@@ -15,37 +15,38 @@
   ClientAdmission clients(smallBudget(6));
   const ConnectionId one = clients.onAccepted("few", 0);
   std::vector<ConnectionId> many;
+  many.reserve(5);
   for (int i = 0; i < 5; ++i)
     many.push_back(clients.onAccepted("many", kMs * (i + 1)));
   EXPECT_FALSE(clients.hasCapacity());
-  EXPECT_FALSE(clients.evictionCandidate(10 * kMs)) << "their first requests may be on the way";
-  EXPECT_EQ(many[0], *clients.evictionCandidate(kSecond)) << "not the one that came first of all";
+  EXPECT_FALSE(clients.evictionCandidate(10 * kMs)) << "their first requests may be in transit";
+  EXPECT_EQ(many[0], *clients.evictionCandidate(kSecond)) << "not the oldest of all";
   clients.onClosed(many[0]);
   EXPECT_TRUE(clients.hasCapacity());
   for (int i = 1; i < 4; ++i)
     clients.onClosed(many[static_cast<std::size_t>(i)]);
-  EXPECT_EQ(one, *clients.evictionCandidate(kSecond)) << "equal shares: the longest silent";
+  EXPECT_EQ(one, *clients.evictionCandidate(kSecond)) << "equal shares: the one silent the longest";
 }
 
 TEST(ClientEviction, OfOnePeerUnproductiveConnectionsGoFirstAndOpenRequestsNever) {
   ClientAdmission clients(smallBudget(6));
-  const ConnectionId rests = submittedAndIdle(clients, "a", 0);
-  const ConnectionId open = clients.onAccepted("a", 0), half = clients.onAccepted("a", 0),
+  const ConnectionId idle = submittedAndIdle(clients, "a", 0);
+  const ConnectionId open = clients.onAccepted("a", 0), partial = clients.onAccepted("a", 0),
                      pinged = clients.onAccepted("a", 0);
   const ConnectionId silent = clients.onAccepted("a", 0),
-                     half_of_a_client = submittedAndIdle(clients, "a", 0);
+                     partial_of_submitter = submittedAndIdle(clients, "a", 0);
   clients.onBytesReceived(open, 10, 0);
   ASSERT_EQ(RequestTurn::now, clients.onRequestComplete(open, 0));
-  clients.onBytesReceived(half, 10, 0);
-  clients.onRequestPartial(half, 0);
+  clients.onBytesReceived(partial, 10, 0);
+  clients.onRequestPartial(partial, 0);
   clients.onBytesReceived(pinged, 10, 0);
   ASSERT_EQ(RequestTurn::now, clients.onRequestComplete(pinged, 0));
   clients.onRequestConsumed(pinged, 0);
   clients.onReplyStarted(pinged, false, 0);
   ASSERT_EQ(AfterReply::keep_open, clients.onReplyWritten(pinged, false, 0));
-  clients.onBytesReceived(half_of_a_client, 10, 0);
-  clients.onRequestPartial(half_of_a_client, 0);
-  for (const ConnectionId next : {silent, pinged, half, rests}) {
+  clients.onBytesReceived(partial_of_submitter, 10, 0);
+  clients.onRequestPartial(partial_of_submitter, 0);
+  for (const ConnectionId next : {silent, pinged, partial, idle}) {
     ASSERT_EQ(next, clients.evictionCandidate(10 * kSecond).value_or(0));
     clients.onClosed(next);
   }
@@ -53,7 +54,7 @@
       << "one is open, and one in the middle of its next request";
 }
 
-// Both rest; those of the peer that holds more will soon have rested for long enough.
+// Both are idle; the connections of the peer that holds more will soon have been idle for long enough.
 TEST(ClientEviction, AnIdleClientWithFewerConnectionsIsKeptALittleLonger) {
   ClientAdmission clients(smallBudget(3));
   const ConnectionId few = submittedAndIdle(clients, "few", 0),
@@ -65,22 +66,23 @@
   clients.onUnreadInput(of_many + 1);
   EXPECT_FALSE(clients.evictionCandidate(3 * kSecond));
   EXPECT_EQ(few, clients.evictionCandidate(4 * kSecond).value_or(0))
-      << "the others are busy, and somebody waits";
+      << "the others have unread input, and somebody waits to connect";
 }
 
-// A crowd from many addresses does not send away clients, however few connections each of it holds; one peer
-// that has most of the table gives way all the same.
+// A crowd from many addresses does not evict clients that submit, however few connections each address
+// holds; one peer that holds most of the table gives way all the same.
 TEST(ClientEviction, SubmittersGoLastUnlessTheirPeerHoldsMostOfTheTable) {
   ClientAdmission clients(smallBudget(8));
-  std::vector<ConnectionId> client;
+  std::vector<ConnectionId> submitters;
+  submitters.reserve(3);
   for (int i = 0; i < 3; ++i)
-    client.push_back(submittedAndIdle(clients, "client", 0));
+    submitters.push_back(submittedAndIdle(clients, "client", 0));
   const ConnectionId a = clients.onAccepted("a", 5 * kSecond), b = clients.onAccepted("b", 5 * kSecond);
   clients.onAccepted("d", 10 * kSecond);
   EXPECT_EQ(a, clients.evictionCandidate(10 * kSecond).value_or(0));
   clients.onClosed(a);
-  EXPECT_EQ(client[0], clients.evictionCandidate(10 * kSecond).value_or(0)) << "three of five";
-  clients.onClosed(client[0]);
+  EXPECT_EQ(submitters[0], clients.evictionCandidate(10 * kSecond).value_or(0)) << "three of five";
+  clients.onClosed(submitters[0]);
   EXPECT_EQ(b, clients.evictionCandidate(10 * kSecond).value_or(0));
   clients.onClosed(b);
   clients.onAccepted("e", 10 * kSecond);
@@ -88,42 +90,42 @@
       << "two of four, and the others will soon have been silent";
 }
 
-// Who asks and hands in nothing goes as soon as who sends nothing, however often it asks.
+// A connection that submits nothing is evictable as soon as one that sends nothing, however often it pings.
 TEST(ClientEviction, AConnectionThatOnlyPingsIsEvictableBetweenTwoRequests) {
   ClientAdmission clients(smallBudget(1));
   const ConnectionId id = clients.onAccepted("a", 0);
-  const auto ask = [&](Micros now) {
+  const auto ping = [&](Micros now) {
     clients.onBytesReceived(id, 10, now);
     ASSERT_EQ(RequestTurn::now, clients.onRequestComplete(id, now));
-    EXPECT_FALSE(clients.evictionCandidate(now + kSecond)) << "not while its answer is due";
+    EXPECT_FALSE(clients.evictionCandidate(now + kSecond)) << "not while its reply is pending";
     clients.onRequestConsumed(id, 0);
     clients.onReplyStarted(id, false, now);
     ASSERT_EQ(AfterReply::keep_open, clients.onReplyWritten(id, false, now));
   };
   for (const Micros now : {300 * kMs, 600 * kMs}) {
-    ask(now);
-    EXPECT_FALSE(clients.evictionCandidate(now + 19 * kMs)) << "its message may be on the way";
+    ping(now);
+    EXPECT_FALSE(clients.evictionCandidate(now + 19 * kMs)) << "its message may be in transit";
     EXPECT_EQ(id, clients.evictionCandidate(now + 20 * kMs).value_or(0));
   }
 }
 
-// A crowd of 400 a second, each from an address of its own, asks once and stays. Whoever comes finds a place
-// well within the 400 ms for which a client waits for its answer, though most of the table is clients that
-// rest.
+// A crowd of 400 connections a second, each from an address of its own, pings once and stays. Each new
+// connection is accepted well within the 400 ms for which a client waits for its reply, though most of the
+// table is idle clients.
 TEST(ClientEviction, ACrowdThatPingsOnceAndStaysKeepsNobodyWaiting) {
   ClientAdmission clients(smallBudget(91));
   for (int i = 0; i < 64; ++i)
     submittedAndIdle(clients, "client" + std::to_string(i), 10 * kSecond - 4 * kMs * i);
   Micros waited = 0, longest = 0;
-  for (Micros now = 10 * kSecond; now < 12 * kSecond; now += 2500) {  // one comes in each such step
+  for (Micros now = 10 * kSecond; now < 12 * kSecond; now += 2500) {  // one connects in each step
     while (!clients.hasCapacity()) {
-      if (const auto goes = clients.evictionCandidate(now + waited))
-        clients.onClosed(*goes);
+      if (const auto candidate = clients.evictionCandidate(now + waited))
+        clients.onClosed(*candidate);
       else
         waited += kMs;
     }
     longest = std::max(longest, waited);
-    const ConnectionId id = clients.onAccepted("stranger" + std::to_string(now), now + waited);
+    const ConnectionId id = clients.onAccepted("crowd" + std::to_string(now), now + waited);
     clients.onBytesReceived(id, 14, now + waited);
     ASSERT_EQ(RequestTurn::now, clients.onRequestComplete(id, now + waited));
     clients.onRequestConsumed(id, 0);
@@ -134,20 +136,20 @@
   EXPECT_LT(longest, 50 * kMs);
 }
 
-// While strangers of the same peer will soon have been silent for long enough, a client that rests is kept.
+// An idle client is kept while an unproductive connection of the same peer will soon have been silent for
+// long enough.
 TEST(ClientEviction, AnIdleClientIsKeptWhileAnUnproductiveConnectionIsEvictableSoon) {
   ClientAdmission clients(smallBudget(2));
-  const ConnectionId rests = submittedAndIdle(clients, "a", 0),
-                     stranger = clients.onAccepted("a", 10 * kSecond);
+  const ConnectionId idle = submittedAndIdle(clients, "a", 0),
+                     unproductive = clients.onAccepted("a", 10 * kSecond);
   EXPECT_FALSE(clients.evictionCandidate(10 * kSecond));
-  EXPECT_EQ(stranger, *clients.evictionCandidate(10 * kSecond + 20 * kMs));
-  clients.onUnreadInput(stranger);
-  EXPECT_EQ(rests, *clients.evictionCandidate(20 * kSecond))
-      << "what the other one sent waits to be read, however long";
-  clients.onBytesReceived(stranger, 10, 20 * kSecond);
+  EXPECT_EQ(unproductive, *clients.evictionCandidate(10 * kSecond + 20 * kMs));
+  clients.onUnreadInput(unproductive);
+  EXPECT_EQ(idle, *clients.evictionCandidate(20 * kSecond)) << "the other one has unread input, however long";
+  clients.onBytesReceived(unproductive, 10, 20 * kSecond);
   EXPECT_FALSE(clients.evictionCandidate(20 * kSecond));
-  clients.onClosed(stranger);
-  EXPECT_EQ(rests, *clients.evictionCandidate(10 * kSecond));
+  clients.onClosed(unproductive);
+  EXPECT_EQ(idle, *clients.evictionCandidate(10 * kSecond));
 }
 
 }  // namespace
--- a/tests/network/descriptor_budget_test.cpp
+++ b/tests/network/descriptor_budget_test.cpp
@@ -25,7 +25,7 @@
 }
 
 TEST(DescriptorBudget, NamesTheSettingThatDoesNotCoverTheReserves) {
-  const auto errorOf = [](const ProcessLimits& limits) {
+  const auto error_of = [](const ProcessLimits& limits) {
     try {
       computeDescriptorBudget(limits, false);
     } catch (const InvalidInput& error) {
@@ -33,10 +33,10 @@
     }
     return std::string();
   };
-  EXPECT_EQ("", errorOf({86, 32 * kMegabyte, 30}));
-  EXPECT_EQ("limits.sockets is too small: 85 of at least 86", errorOf({85, 32 * kMegabyte, 30}));
-  EXPECT_EQ("", errorOf({256, 2 * kMegabyte, 30}));
-  EXPECT_EQ("limits.memory_mb is too small: 1 of at least 2", errorOf({256, kMegabyte, 30}));
+  EXPECT_EQ("", error_of({86, 32 * kMegabyte, 30}));
+  EXPECT_EQ("limits.sockets is too small: 85 of at least 86", error_of({85, 32 * kMegabyte, 30}));
+  EXPECT_EQ("", error_of({256, 2 * kMegabyte, 30}));
+  EXPECT_EQ("limits.memory_mb is too small: 1 of at least 2", error_of({256, kMegabyte, 30}));
 }
 
 }  // namespace
--- a/tests/network/descriptor_limit_test.cpp
+++ b/tests/network/descriptor_limit_test.cpp
@@ -17,6 +17,7 @@
 
 std::vector<std::unique_ptr<Client>> crowd(int port, int size, const char* from = nullptr) {
   std::vector<std::unique_ptr<Client>> all;
+  all.reserve(static_cast<std::size_t>(size));
   for (int i = 0; i < size; ++i)
     all.push_back(std::make_unique<Client>(port, from));
   return all;
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -122,7 +122,7 @@
       a.sin_family = AF_INET;
       a.sin_port = htons(static_cast<std::uint16_t>(listener.port));
       a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-      ::connect(fillers.back(), reinterpret_cast<sockaddr*>(&a), sizeof a);
+      (void)::connect(fillers.back(), reinterpret_cast<sockaddr*>(&a), sizeof a);
     }
   }
   ~Stuck() {
@@ -153,6 +153,7 @@
   AttemptResult result;
   bool finished;
   Micros wait;
+  // NOLINTNEXTLINE(readability-identifier-naming): the name that GoogleTest looks for
   friend void PrintTo(const Row& r, std::ostream* out) { *out << r.name; }
 };
 class Outcomes : public ::testing::TestWithParam<Row> {};
@@ -502,7 +503,7 @@
   m.body.assign(64u << 20, 'x');  // more than a socket's buffers hold
   p.endpoints.startCall(m, 0, "e", within(60'000'000));
   const int fd = ::accept4(unread.fd, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
-  char piece;
+  char piece = 0;
   while (::recv(fd, &piece, 1, MSG_PEEK) <= 0)
     p.io.run_one_for(std::chrono::milliseconds(1));
   p.endpoints.onEndpointDraining("e");
