--- a/tests/process/configuration_test.cpp
+++ b/tests/process/configuration_test.cpp
@@ -13,7 +13,7 @@
 
 // The variables of the program are unset for the time of a test.
 class ConfigurationTest : public testing::Test {
- protected:
+ public:
   ConfigurationTest() {
     for (const char* name : kVariables) {
       const char* value = std::getenv(name);
@@ -32,6 +32,7 @@
     }
   }
 
+ protected:
   void writeFile(const std::string& text) {
     const std::string path = folder_.path() + "/config.json";
     std::ofstream(path) << text;
@@ -51,9 +52,10 @@
     }
   }
 
-  TempFolder folder_;
+  const std::string& stateFolder() const { return folder_.path(); }
 
  private:
+  TempFolder folder_;
   std::map<std::string, std::string> saved_;
 };
 
@@ -63,8 +65,8 @@
   EXPECT_EQ("", configuration.listen);
   EXPECT_EQ("", configuration.discovery);
   EXPECT_EQ("", configuration.control);
-  EXPECT_EQ(folder_.path(), configuration.state_folder);
-  EXPECT_EQ(folder_.path(), configuration.scratch_folder);
+  EXPECT_EQ(stateFolder(), configuration.state_folder);
+  EXPECT_EQ(stateFolder(), configuration.scratch_folder);
   EXPECT_FALSE(configuration.passed_socket);
   EXPECT_EQ(0U, configuration.seed);
   EXPECT_EQ(3'000'000U, configuration.disk_bytes);
@@ -129,7 +131,7 @@
   EXPECT_EQ("GW_CONFIG is not set", error());
   ::setenv("GW_CONFIG", "/nonexistent", 1);
   EXPECT_EQ("can't be read: /nonexistent", error());
-  const std::string path = folder_.path() + "/config.json";
+  const std::string path = stateFolder() + "/config.json";
   for (const char* text : {"", "{", "[1]"}) {
     writeFile(text);
     EXPECT_EQ("not a JSON object: " + path, error()) << text;
--- a/tests/process/control_test.cpp
+++ b/tests/process/control_test.cpp
@@ -47,6 +47,7 @@
 TEST(ControlAddress, AnswersWhileCallersStallAndClientsFillTheirTable) {
   Fleet fleet(deliver);
   std::vector<std::unique_ptr<Client>> crowd;
+  crowd.reserve(1140);
   for (int i = 0; i < 1100; ++i)
     crowd.push_back(std::make_unique<Client>(fleet.program.port()));
   for (int i = 0; i < 40; ++i) {
--- a/tests/process/handover_compatibility_test.cpp
+++ b/tests/process/handover_compatibility_test.cpp
@@ -89,7 +89,7 @@
     for (;;) {
       const auto end = in_.find('\n');
       if (end != std::string::npos) {
-        const std::string l = in_.substr(0, end);
+        std::string l = in_.substr(0, end);
         in_.erase(0, end + 1);
         return l;
       }
@@ -369,13 +369,13 @@
   const StuckListener stuck;
   TempFolder folder;
   loopback::Agent agent;
-  const auto isStuck = [](const json& m) {
+  const auto is_stuck = [](const json& m) {
     return m.at("message").get<std::string>().rfind("stuck-", 0) == 0;
   };
   std::map<std::string, json> endpoints;
   for (const json& m : messages) {
     const std::string name = m.at("attempts").at(0).at("endpoint");
-    endpoints[name] = listed(name, isStuck(m) ? stuck.address() : endpoint.address(), m.at("destination"));
+    endpoints[name] = listed(name, is_stuck(m) ? stuck.address() : endpoint.address(), m.at("destination"));
   }
   json known = json::array();
   for (const auto& [name, e] : endpoints)
@@ -386,7 +386,7 @@
     ASSERT_EQ(
         "+OK",
         Client(older.port()).put(m.at("message"), m.at("class"), m.at("destination"), m.at("body"), 100000));
-    written += !isStuck(m);
+    written += !is_stuck(m);
   }
   ASSERT_TRUE(endpoint.waitFor(written));
 
@@ -430,29 +430,29 @@
         return true;
     }
   };
-  const auto isCancel = [](const std::string& l) { return !isAbsent(json::parse(l), "cancel"); };
-  const auto sendAll = [&](bool cancels) {
+  const auto is_cancel = [](const std::string& l) { return !isAbsent(json::parse(l), "cancel"); };
+  const auto send_all = [&](bool cancels) {
     std::size_t n = 0;
     for (const std::string& l : lines)
-      if (&l != &lines.front() && isCancel(l) == cancels)
+      if (&l != &lines.front() && is_cancel(l) == cancels)
         link.send(l), ++n;
     EXPECT_GT(n, 0u);
   };
-  const auto wasHeard = [&](const std::string& id) {
+  const auto was_heard = [&](const std::string& id) {
     return std::any_of(heard.begin(), heard.end(),
                        [&](const json& h) { return h.at("outcome").at("id") == id; });
   };
-  sendAll(false);  // drains and told waits: what is not written yet goes back
+  send_all(false);  // drains and told waits: what is not written yet goes back
   for (const char* id : {"stuck-drain", "stuck-wait"})
-    ASSERT_TRUE(wasHeard(id) || hear(id));
+    ASSERT_TRUE(was_heard(id) || hear(id));
   EXPECT_EQ(2u, heard.size());
   gates.let(gates.answering);
   for (const char* id : {"done", "full", "error", "reset", "half"})
-    ASSERT_TRUE(wasHeard(id) || hear(id));
+    ASSERT_TRUE(was_heard(id) || hear(id));
   EXPECT_EQ(7u, heard.size());
-  sendAll(true);
+  send_all(true);
   ASSERT_TRUE(hear("half"));
-  ASSERT_TRUE(wasHeard("hang-1") || hear("hang-1"));
+  ASSERT_TRUE(was_heard("hang-1") || hear("hang-1"));
   EXPECT_EQ(9u, heard.size());
   gates.let(gates.hanging);
   while (heard.size() < expected.size() && hear("")) {
--- a/tests/process/sender_test.cpp
+++ b/tests/process/sender_test.cpp
@@ -122,6 +122,7 @@
   Client silent(fleet.program.port());
   ASSERT_TRUE(silent.closed());  // by now the client has rested as long as that one was waited for
   std::vector<std::unique_ptr<Client>> crowd;
+  crowd.reserve(2000);
   for (int i = 0; i < 2000; ++i)
     crowd.push_back(std::make_unique<Client>(fleet.program.port()));
   Client behind(fleet.program.port());
@@ -193,7 +194,7 @@
   std::this_thread::sleep_for(60ms);
   client.send(request.substr(10));
   const std::string reply = client.line();
-  EXPECT_TRUE(reply.rfind("-", 0) == 0) << reply;
+  EXPECT_TRUE(reply.rfind('-', 0) == 0) << reply;
   EXPECT_EQ("+OK", client.put("fine", "order", 7));
   ASSERT_TRUE(fleet.endpoint.waitFor(1));
   EXPECT_EQ("fine", fleet.endpoint.seen()[0].field("X-Txn"));
@@ -652,7 +653,7 @@
     more.wait_for(lock, kLong, [&, mine = asked] { return stop || asked >= mine + 2; });
     return deliver(request);
   });
-  const auto waitForAsked = [&](int count) {
+  const auto wait_for_asked = [&](int count) {
     std::unique_lock<std::mutex> lock(mutex);
     EXPECT_TRUE(more.wait_for(lock, kLong, [&, from = asked] { return asked >= from + count; }));
   };
@@ -676,12 +677,12 @@
       std::this_thread::sleep_for(5ms);
     }
   });
-  waitForAsked(20);
+  wait_for_asked(20);
   Client idle(fleet.program.port());
   ASSERT_EQ("+PONG", idle.ask({"PING"}));
   fleet.program.signal(SIGTERM);
   EXPECT_TRUE(idle.ended());  // an idle connection is closed between requests
-  waitForAsked(5);            // late ones are served
+  wait_for_asked(5);          // late ones are served
   {
     std::lock_guard<std::mutex> lock(mutex);
     stop = true;
--- a/tests/process/upgrade_test.cpp
+++ b/tests/process/upgrade_test.cpp
@@ -71,6 +71,7 @@
   std::mutex mutex;
   std::vector<std::string> accepted;
   std::vector<std::thread> traffic;
+  traffic.reserve(2);
   for (int kept = 0; kept < 2; ++kept)
     traffic.emplace_back([&, kept] {
       std::unique_ptr<Client> client;
