--- a/src/network/client_server.h
+++ b/src/network/client_server.h
@@ -13,7 +13,7 @@
 
 #include "network/client_admission.h"
 #include "network/queue_age.h"
-#include "storage/journal_format.h"
+#include "storage/accepted_message.h"
 
 namespace delivery {
 
--- a/src/network/discovery_client.h
+++ b/src/network/discovery_client.h
@@ -11,7 +11,7 @@
 
 #include "network/http_connection.h"
 #include "protocol/json_fields.h"
-#include "storage/journal.h"
+#include "storage/accepted_message.h"
 
 namespace delivery {
 
--- a/src/network/endpoint_pool.h
+++ b/src/network/endpoint_pool.h
@@ -15,9 +15,10 @@
 
 #include "common/call_id.h"
 #include "common/clocks.h"
+#include "decision/scheduler.h"
 #include "network/endpoint_connection_accounting.h"
 #include "network/http_connection.h"
-#include "storage/journal.h"
+#include "storage/accepted_message.h"
 
 namespace delivery {
 
--- a/src/protocol/message_request.h
+++ b/src/protocol/message_request.h
@@ -5,7 +5,7 @@
 #include <variant>
 #include <vector>
 
-#include "storage/journal_format.h"
+#include "storage/accepted_message.h"
 
 namespace delivery {
 
--- a/src/storage/journal_format.h
+++ b/src/storage/journal_format.h
@@ -11,28 +11,10 @@
 
 #include "common/clocks.h"
 #include "decision/scheduler.h"
+#include "storage/accepted_message.h"
 
 namespace delivery {
 
-struct AcceptedMessage {  // what a client handed in, as it goes on to the endpoint
-  std::string id, message_class, tenant, order_key, idempotency_key, body;
-  std::int64_t destination = 0;
-  Deadline deadline;
-  Micros time_to_live = 0;  // how long it had in all
-  bool is_retry = false;
-};
-
-struct JournaledAttempt {
-  std::string endpoint;
-  Micros sent_at = 0;  // on the monotonic clock
-  bool never_ran = false;
-};
-
-struct CompletionNotice {
-  bool returned = false;  // else given up
-  std::int64_t retry_after_ms = 0;
-};
-
 struct JournalEntry {
   AcceptedMessage message;
   std::vector<JournaledAttempt> attempts;
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -8,6 +8,7 @@
 #include <memory>
 #include <optional>
 
+#include "common/clocks.h"
 #include "network/listener.h"
 #include "protocol/resp.h"
 #include "support/loopback.h"
