--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -3,7 +3,9 @@
 
 #include <algorithm>
 #include <cmath>
-#include <iostream>
+#include <optional>
+
+#include "common/log.h"
 
 namespace delivery {
 
@@ -15,6 +17,26 @@
   return pause > 0 ? "-BUSY " + std::to_string((pause + 999) / 1000) : std::string("-BUSY");
 }
 
+void logRecovery(const Journal::Recovered& recovered, std::size_t messages, std::size_t pending_notices,
+                 Micros duration_ms) {
+  LogLine line = recovered.damaged ? logWarning("journal", "recovered") : logInfo("journal", "recovered");
+  line.field("messages", messages).field("pending_notices", pending_notices);
+  for (const RecoveryReport::Field& field : recovered.report.fields())
+    line.field(field.name, field.value);
+  line.field("duration_ms", duration_ms);
+}
+
+void logFlushFailure(const Journal& journal) {
+  LogLine line = logError("journal", "write_failed");
+  const std::optional<JournalError>& error = journal.flushError();
+  if (!error) {
+    line.field("reason", "disk budget used up");
+    return;
+  }
+  line.field("operation", toString(error->operation())).field("path", error->path());
+  line.field("reason", error->code().message());
+}
+
 }  // namespace
 
 DecisionDriver::DecisionDriver(asio::io_context& io, Settings settings, std::uint64_t seed, Journal& journal,
@@ -47,7 +69,7 @@
       a.retry_after_until = 0;
     add(std::move(a));
   }
-  for (const Journal::Entry& e : r.entries) {
+  for (const JournalEntry& e : r.entries) {
     if (e.notice_pending) {
       notices_.enqueue(e.message.id, e.notice);
       continue;
@@ -79,8 +101,7 @@
     }
     add(std::move(m));
   }
-  std::cerr << "journal: " << held_.size() << " messages resumed, " << notices_.pending() << " notices owed; "
-            << r.summary << "; " << (monotonicNow() - began) / 1000 << " ms\n";
+  logRecovery(r, held_.size(), notices_.pending(), (monotonicNow() - began) / 1000);
   journal_.releaseRecovered();
 }
 
@@ -242,7 +263,7 @@
   }
   const bool kept = journal_.flush();
   if (!kept)
-    std::cerr << "journal: could not be written\n";
+    logFlushFailure(journal_);
   for (const std::string& id : fresh_) {
     Held& h = held_.at(id);
     const ClientServer::Reply reply = std::move(h.reply);
--- a/src/programs/journal_inspect.cpp
+++ b/src/programs/journal_inspect.cpp
@@ -1,67 +1,131 @@
-// Tells what a sender's journal holds. Reads only, also beside a running sender.
+// Prints what a sender's journal holds and whether it is damaged. It only reads, also beside a running
+// sender.
 #include <filesystem>
 #include <fstream>
 #include <iostream>
 #include <iterator>
+#include <optional>
+#include <string>
 
-#include "storage/journal_format.h"
-
-using namespace delivery;
+#include "common/clocks.h"
+#include "storage/recovery.h"
 
 namespace {
 
-enum Exit { kSound = 0, kDamaged = 1, kUnreadable = 2 };
+using delivery::ByteRange;
+using delivery::Clocks;
+using delivery::JournalEntry;
+using delivery::RecoveredJournal;
 
-int check(const std::string& folder) {
-  const std::string path = folder + "/journal";
+enum class ExitCode {
+  sound = 0,
+  damaged = 1,
+  unreadable_or_usage = 2,
+};
+
+std::optional<std::string> readFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file || std::filesystem::is_directory(path)) {
+  if (!file || std::filesystem::is_directory(path))
+    return std::nullopt;
+  return std::string(std::istreambuf_iterator<char>(file), {});
+}
+
+std::size_t countAttemptsThatMayHaveRun(const JournalEntry& entry) {
+  std::size_t count = 0;
+  for (const delivery::JournaledAttempt& attempt : entry.attempts)
+    if (!attempt.never_ran)
+      ++count;
+  return count;
+}
+
+void printPendingNotice(const JournalEntry& entry) {
+  std::cout << "owed " << entry.message.id << ": " << (entry.notice.returned ? "handed back" : "given up")
+            << '\n';
+}
+
+void printOpenMessage(const JournalEntry& entry, std::size_t may_have_run, delivery::Micros now) {
+  constexpr delivery::Micros kMicrosPerMillisecond = 1000;
+  std::cout << "held " << entry.message.id << ": destination " << entry.message.destination << ", "
+            << entry.attempts.size() << " attempts, of which " << may_have_run << " may have run, "
+            << entry.message.deadline.remaining(now) / kMicrosPerMillisecond << " ms left\n";
+}
+
+struct EntryCounts {
+  std::size_t open = 0;
+  std::size_t may_have_run = 0;  // of the open ones
+  std::size_t pending_notices = 0;
+};
+
+EntryCounts printEntries(const RecoveredJournal& journal, delivery::Micros now) {
+  EntryCounts counts;
+  for (const auto& [message_id, entry] : journal.state.entries()) {
+    if (entry.notice_pending) {
+      ++counts.pending_notices;
+      printPendingNotice(entry);
+      continue;
+    }
+    const std::size_t may_have_run = countAttemptsThatMayHaveRun(entry);
+    ++counts.open;
+    if (may_have_run > 0)
+      ++counts.may_have_run;
+    printOpenMessage(entry, may_have_run, now);
+  }
+  return counts;
+}
+
+void printSummary(const RecoveredJournal& journal, std::size_t bytes, const EntryCounts& counts) {
+  std::cout << journal.scan.records.size() << " records in " << bytes << " bytes, version "
+            << journal.header.version << (journal.header.durable ? ", durable" : "")
+            << (journal.scan.torn_write ? ", a torn tail" : "") << '\n';
+  std::cout << counts.open << " messages held, " << counts.may_have_run << " of them may have run; "
+            << counts.pending_notices << " notices owed\n";
+}
+
+void printDamage(const RecoveredJournal& journal) {
+  for (const ByteRange& range : journal.scan.damaged_ranges)
+    std::cout << "damaged: bytes " << range.begin << " to " << range.end << '\n';
+  std::cout << journal.scan.damaged_ranges.size() << " damaged stretches, " << journal.gaps << " gaps, "
+            << journal.unreadable_records << " records of an unknown kind, " << journal.contradictory_records
+            << " contradictory, " << journal.scan.duplicate_records << " repeated\n";
+}
+
+void printQuarantine(const std::string& folder) {
+  std::error_code error;
+  const auto bytes = std::filesystem::file_size(folder + "/journal.damaged", error);
+  if (!error)
+    std::cout << "journal.damaged: " << bytes << " bytes kept from earlier\n";
+}
+
+ExitCode check(const std::string& folder) {
+  const std::string path = folder + "/journal";
+  const std::optional<std::string> data = readFile(path);
+  if (!data) {
     std::cerr << "can't be read: " << path << '\n';
-    return kUnreadable;
+    return ExitCode::unreadable_or_usage;
   }
-  const std::string data{std::istreambuf_iterator<char>(file), {}};
-  const Clocks now = readClocks();
-  const JournalReading r = readJournal(data, now);
-  if (!data.empty() && r.scan.records.empty()) {
+  const Clocks now = delivery::readClocks();
+  const RecoveredJournal journal = delivery::readJournal(*data, now);
+  if (!data->empty() && journal.scan.records.empty()) {
     std::cerr << "not a journal: " << path << '\n';
-    return kUnreadable;
+    return ExitCode::unreadable_or_usage;
   }
-  std::size_t held = 0, tried = 0, owed = 0;
-  for (const auto& [id, e] : r.state.entries) {
-    if (e.notice_pending) {
-      ++owed;
-      std::cout << "owed " << id << ": " << (e.notice.returned ? "handed back" : "given up") << '\n';
-      continue;
-    }
-    std::size_t may_have_run = 0;
-    for (const JournaledAttempt& a : e.attempts)
-      may_have_run += !a.never_ran;
-    ++held;
-    tried += may_have_run > 0;
-    std::cout << "held " << id << ": destination " << e.message.destination << ", " << e.attempts.size()
-              << " attempts, of which " << may_have_run << " may have run, "
-              << e.message.deadline.remaining(now.monotonic) / 1000 << " ms left\n";
-  }
-  std::cout << r.scan.records.size() << " records in " << data.size() << " bytes, version " << r.head.version
-            << (r.head.durable ? ", durable" : "") << (r.scan.torn ? ", a torn tail" : "") << '\n'
-            << held << " messages held, " << tried << " of them may have run; " << owed << " notices owed\n";
-  for (const auto& [from, to] : r.scan.damaged)
-    std::cout << "damaged: bytes " << from << " to " << to << '\n';
-  std::cout << r.scan.damaged.size() << " damaged stretches, " << r.missing << " gaps, " << r.unreadable
-            << " records of an unknown kind, " << r.contradictory << " contradictory, " << r.scan.repeated
-            << " repeated\n";
-  std::error_code none;
-  const auto aside = std::filesystem::file_size(folder + "/journal.damaged", none);
-  if (!none)
-    std::cout << "journal.damaged: " << aside << " bytes kept from earlier\n";
-  return r.damaged() || r.scan.repeated > 0 ? kDamaged : kSound;
+  const EntryCounts counts = printEntries(journal, now.monotonic);
+  printSummary(journal, data->size(), counts);
+  printDamage(journal);
+  printQuarantine(folder);
+  const bool sound = !journal.damaged() && journal.scan.duplicate_records == 0;
+  return sound ? ExitCode::sound : ExitCode::damaged;
+}
+
+ExitCode run(int argument_count, char** arguments) {
+  if (argument_count == 3 && std::string(arguments[1]) == "check")
+    return check(arguments[2]);
+  std::cerr << "usage: journal_inspect check FOLDER\n";
+  return ExitCode::unreadable_or_usage;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  if (argc == 3 && std::string(argv[1]) == "check")
-    return check(argv[2]);
-  std::cerr << "usage: journal_inspect check FOLDER\n";
-  return kUnreadable;
+  return static_cast<int>(run(argc, argv));
 }
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -1,30 +1,61 @@
-// The journal; see journal.h.
 #include "storage/journal.h"
 
 #include <fcntl.h>
 
-#include <algorithm>
 #include <cerrno>
-#include <cstring>
-#include <stdexcept>
+#include <utility>
+
+#include "storage/damage_quarantine.h"
+#include "storage/record_codec.h"
+#include "storage/record_frame.h"
 
 namespace delivery {
 namespace {
 
-constexpr std::uint64_t kBlock = 512;
-// Bytes kept free for each message taken on: its attempts, their ends and its notice.
-constexpr std::uint64_t kSeeThrough = 1536;
-// Compaction is worth its writes once this much, and more than half of the file, is of messages long over.
-constexpr std::uint64_t kLeastWaste = 64u << 10;
-constexpr std::uint64_t kHeadRecord = 128;  // at most
-constexpr std::uint64_t kShareAside = 16;   // one part in so many of the disk may keep what can't be read
+// Room for the records of a message after its acceptance: attempts, their ends and its notice.
+constexpr std::uint64_t kLifecycleBytes = 1536;
+// Compaction has to free more than this.
+constexpr std::uint64_t kMinCompactionGainBytes = 256u << 10;
+constexpr std::uint64_t kMaxHeaderRecordBytes = 128;
+constexpr std::uint64_t kMaxHealthRecordBytes = 128;
+// The quarantine may take one part in so many of the disk budget.
+constexpr std::uint64_t kQuarantineShareDivisor = 16;
+
+// What an open message may take in the file.
+std::uint64_t bytesToReserve(const AcceptedMessage& message) {
+  return kFrameOverheadBytes + encodedSize(message) + kLifecycleBytes;
+}
 
-std::uint64_t blocks(std::uint64_t bytes) {
-  return (bytes + kBlock - 1) / kBlock * kBlock;
+bool lastAttemptIsUnknown(const JournalEntry& entry) {
+  return !entry.notice_pending && !entry.attempts.empty() && entry.attempts.back().endpoint.empty();
 }
 
-[[noreturn]] void fault(const std::string& what) {
-  throw std::runtime_error(what + ": " + std::strerror(errno));
+RecoveryReport reportOf(const RecoveredJournal& journal, const FileContent& content) {
+  RecoveryReport report;
+  report.records = journal.scan.records.size();
+  report.bytes = content.data.size();
+  report.read_errno = content.error;
+  report.damaged_ranges = journal.scan.damaged_ranges.size();
+  report.gaps = journal.gaps;
+  report.unreadable_records = journal.unreadable_records;
+  report.contradictory_records = journal.contradictory_records;
+  report.duplicate_records = journal.scan.duplicate_records;
+  report.torn_write = journal.scan.torn_write;
+  report.power_cut = journal.power_cut;
+  return report;
+}
+
+void appendEntry(RecordBuffer& records, const JournalEntry& entry) {
+  const std::string& message_id = entry.message.id;
+  records.append(AcceptedRecord{entry.message});
+  for (std::size_t i = 0; i < entry.attempts.size(); ++i) {
+    const JournaledAttempt& attempt = entry.attempts[i];
+    records.append(AttemptRecord{message_id, attempt.endpoint, attempt.sent_at});
+    if (attempt.never_ran)
+      records.append(AttemptNeverRanRecord{message_id, i});
+  }
+  if (entry.notice_pending)
+    records.append(NoticePendingRecord{message_id, entry.notice});
 }
 
 }  // namespace
@@ -33,20 +64,12 @@
     : files_(files),
       folder_(folder),
       path_(folder + "/journal"),
-      fresh_path_(folder + "/journal.new"),
-      aside_path_(folder + "/journal.damaged"),
+      compaction_path_(folder + "/journal.new"),
+      quarantine_path_(folder + "/journal.damaged"),
       options_(options),
-      disk_(options.disk_bytes) {
-  files_.unlink(fresh_path_);  // a rewrite that was cut short: the old file still holds all
-  fd_ = files_.open(path_, O_RDWR | O_CREAT | O_APPEND);
-  if (fd_ < 0)
-    fault("journal: " + path_);
-  try {
-    recover(now);
-  } catch (...) {
-    files_.close(fd_);
-    throw;
-  }
+      budget_(options.disk_bytes),
+      file_(openOrThrow()) {
+  recover(now);
 }
 
 Journal::~Journal() {
@@ -54,268 +77,286 @@
 }
 
 void Journal::close() {
-  if (fd_ < 0)
+  if (!file_.isOpen())
     return;
   flush();
-  files_.close(fd_);
-  fd_ = -1;
-}
-
-// As far as it can be read: what follows counts as damage.
-std::string Journal::readAll() {
-  std::string data;
-  char piece[65536];
-  for (;;) {
-    const ssize_t n = files_.read(fd_, piece, sizeof piece);
-    if (n < 0 && errno == EINTR)
-      continue;
-    if (n < 0) {
-      recovered_.summary = std::string("read stopped: ") + std::strerror(errno) + "; ";
-      suspect_ = true;
-    }
-    if (n <= 0)
-      return data;
-    data.append(piece, static_cast<std::size_t>(n));
-  }
+  file_.reset();
+}
+
+// ---- Recovery
+
+FileDescriptor Journal::openOrThrow() {
+  files_.unlink(compaction_path_);  // of a compaction that was cut short: the old file is still whole
+  FileDescriptor file(files_, files_.open(path_, O_RDWR | O_CREAT | O_APPEND));
+  if (!file.isOpen())
+    throw JournalError(FileOperation::open, path_, errno);
+  return file;
 }
 
 void Journal::recover(const Clocks& now) {
-  const std::string data = readAll();
-  JournalReading r = readJournal(data, now);
-  if (suspect_)
-    r.state.assumeUnknownAttempts();
-  recovered_.damaged = r.damaged() || suspect_;
-  recovered_.summary += std::to_string(r.scan.records.size()) + " records in " + std::to_string(data.size()) +
-                        " bytes, " + std::to_string(r.scan.damaged.size()) + " damaged stretches";
-  if (r.missing > 0)
-    recovered_.summary += ", " + std::to_string(r.missing) + " gaps";
-  if (r.unreadable > 0)
-    recovered_.summary += ", " + std::to_string(r.unreadable) + " of an unknown kind";
-  if (r.contradictory > 0)
-    recovered_.summary += ", " + std::to_string(r.contradictory) + " contradictory";
-  if (r.scan.repeated > 0)
-    recovered_.summary += ", " + std::to_string(r.scan.repeated) + " repeated";
-  if (r.scan.torn)
-    recovered_.summary += ", a torn tail";
-  if (r.power_cut)
-    recovered_.summary += ", after a power cut";
-  state_ = std::move(r.state);
-  clock_ = r.clock;
-  next_number_ = r.next_number;
-  head_ = {kJournalVersion, options_.durable, clock_.shift(), clock_.toDisk(now.monotonic), now.boot};
-  live_ = liveBytes();
-  const off_t there = files_.size(fd_);
-  size_ = there < 0 ? data.size() : static_cast<std::uint64_t>(there);
-  setAside(data, r);
-  if (r.scan.torn && files_.truncate(fd_, static_cast<off_t>(r.scan.sound_end)) == 0)
-    size_ = r.scan.sound_end;
-  const bool as_it_is = r.same_clock && r.head.version == kJournalVersion &&
-                        r.head.durable == options_.durable && !recovered_.damaged && r.scan.repeated == 0;
-  if (!as_it_is && !compact())
-    goOnInPlace();
+  const FileContent content = readAll(files_, file_);
+  RecoveredJournal journal = readJournal(content.data, now);
+  if (content.error != 0) {  // what follows in the file counts as damaged
+    rewrite_required_ = true;
+    journal.state.assumeUnknownAttempts();
+  }
+  recovered_.damaged = journal.damaged() || rewrite_required_;
+  recovered_.report = reportOf(journal, content);
+  adoptState(journal, now);
+  const off_t size = files_.size(file_.get());
+  file_size_ = size < 0 ? content.data.size() : static_cast<std::uint64_t>(size);
+  quarantineDamage(content.data, journal.scan.damaged_ranges);
+  truncateTornWrite(journal.scan);
+  if (!canAppendTo(journal) && !compact())
+    appendRecoveredDoubts();
   // The process before may have been killed between a write or a rename and its sync.
-  if (options_.durable && (files_.sync(fd_) != 0 || files_.syncFolder(folder_) != 0))
-    suspect_ = true;
-  for (const auto& [id, e] : state_.entries)
-    recovered_.entries.push_back(e);
-  std::sort(recovered_.entries.begin(), recovered_.entries.end(),
-            [](const Entry& a, const Entry& b) { return a.order < b.order; });
-  recovered_.endpoint_list = state_.endpoint_list;
-  for (const auto& [key, a] : state_.health_records)
-    recovered_.health_records.push_back(a);
-}
-
-// No room to write all anew: what is in doubt is written behind what is there, or it would be forgotten.
-void Journal::goOnInPlace() {
-  append(headPayload(head_));
-  std::vector<std::pair<std::string, JournaledAttempt>> doubted;
-  for (const auto& [id, e] : state_.entries)
-    if (!e.notice_pending && !e.attempts.empty() && e.attempts.back().endpoint.empty())
-      doubted.emplace_back(id, e.attempts.back());
-  for (const auto& [id, a] : doubted)
-    recordAttempt(id, a);
-  flush();
+  if (options_.durable && (files_.sync(file_.get()) != 0 || files_.syncFolder(folder_) != 0))
+    rewrite_required_ = true;
+  publishRecovered();
 }
 
-// Keeps what can't be read, within its part of the disk, for somebody to look at.
-void Journal::setAside(const std::string& data, const JournalReading& r) {
-  const int fd = files_.open(aside_path_, O_WRONLY | O_APPEND | (r.scan.damaged.empty() ? 0 : O_CREAT));
-  if (fd < 0)
+void Journal::adoptState(RecoveredJournal& journal, const Clocks& now) {
+  state_ = std::move(journal.state);
+  clock_ = journal.clock;
+  buffer_ = RecordBuffer(clock_, journal.next_sequence_number);
+  header_ = {kJournalVersion, options_.durable, clock_.shift(), clock_.toDisk(now.monotonic), now.boot};
+  live_bytes_ = liveBytes();
+}
+
+void Journal::quarantineDamage(const std::string& data, const std::vector<ByteRange>& damaged_ranges) {
+  DamageQuarantine quarantine(files_, quarantine_path_, options_.disk_bytes / kQuarantineShareDivisor);
+  const DamageQuarantine::Result result = quarantine.store(data, damaged_ranges);
+  if (!result.opened)
     return;
-  const off_t there = files_.size(fd);
-  std::uint64_t size = there < 0 ? 0 : static_cast<std::uint64_t>(there);
-  const std::uint64_t most = options_.disk_bytes / kShareAside;
-  std::uint64_t lost = 0;
-  for (const auto& [from, to] : r.scan.damaged) {
-    std::string kept = "\n-- bytes " + std::to_string(from) + " to " + std::to_string(to) + "\n" +
-                       data.substr(from, to - from);
-    const std::uint64_t room = most > size ? most - size : 0;
-    if (kept.size() > room)
-      lost += kept.size() - room;
-    kept.resize(std::min<std::uint64_t>(kept.size(), room));
-    if (kept.empty())
-      continue;
-    if (writeAll(fd, kept))
-      size += kept.size();
-    else
-      lost += kept.size();
-  }
-  files_.close(fd);
-  if (!r.scan.damaged.empty())
-    recovered_.summary += "; kept in journal.damaged" +
-                          (lost > 0 ? " but for " + std::to_string(lost) + " bytes" : std::string());
-  disk_ = options_.disk_bytes - std::min(options_.disk_bytes, blocks(size));
+  recovered_.report.quarantined = !damaged_ranges.empty();
+  recovered_.report.unquarantined_bytes = result.dropped_bytes;
+  budget_ = DiskBudget::beside(options_.disk_bytes, result.file_bytes);
 }
 
-std::uint64_t Journal::liveBytes() const {
-  std::uint64_t live =
-      kHeadRecord + kRecordOverhead + state_.endpoint_list.size() + state_.health_records.size() * 128;
-  for (const auto& [id, e] : state_.entries)
-    live += sizeOnDisk(e.message) + kSeeThrough;
-  return live;
+void Journal::truncateTornWrite(const ScanResult& scan) {
+  if (!scan.torn_write)
+    return;
+  if (files_.truncate(file_.get(), static_cast<off_t>(scan.sound_end)) == 0)
+    file_size_ = scan.sound_end;
 }
 
-// Guards against a message that is taken on and then can't be kept. Right after a rewrite the file holds what
-// is live, and the next one writes as much again beside it.
-bool Journal::reserve(const AcceptedMessage& m) {
-  const std::uint64_t more = reserved_ + sizeOnDisk(m) + kSeeThrough, live = live_ + more;
-  auto fits = [&](std::uint64_t file) { return blocks(file) + blocks(live) + kLeastWaste <= disk_; };
-  if (!fits(live))
-    return false;
-  if (!fits(size_ + buffer_.size() + more) && (!compact() || !fits(size_ + more)))
+// Whether the file can stay as it is, and new records follow those in it.
+bool Journal::canAppendTo(const RecoveredJournal& journal) const {
+  return journal.clock_continues && journal.header.version == kJournalVersion &&
+         journal.header.durable == options_.durable && !recovered_.damaged &&
+         journal.scan.duplicate_records == 0;
+}
+
+// Without room for a compaction, the attempts that recovery assumed go behind the damaged records: the next
+// start would not know of them.
+void Journal::appendRecoveredDoubts() {
+  append(header_);
+  std::vector<AttemptRecord> unknown_attempts;
+  for (const auto& [message_id, entry] : state_.entries())
+    if (lastAttemptIsUnknown(entry))
+      unknown_attempts.push_back({message_id, "", entry.attempts.back().sent_at});
+  for (const AttemptRecord& attempt : unknown_attempts)
+    if (append(attempt))
+      sync_required_ = true;
+  flush();
+}
+
+void Journal::publishRecovered() {
+  for (const JournalEntry* entry : state_.entriesInOrderOfAcceptance())
+    recovered_.entries.push_back(*entry);
+  recovered_.endpoint_list = state_.endpointList();
+  for (const auto& [key, health] : state_.healthRecords())
+    recovered_.health_records.push_back(health);
+}
+
+// ---- Records
+
+bool Journal::reserve(const AcceptedMessage& message) {
+  const std::uint64_t reserved = reserved_bytes_ + bytesToReserve(message);
+  const std::uint64_t live = live_bytes_ + reserved;
+  // A compacted file holds what is live, and the next compaction writes as much again beside it.
+  if (!budget_.allowsCompaction(live, live))
     return false;
-  reserved_ = more;
+  if (!budget_.allowsCompaction(file_size_ + buffer_.size() + reserved, live)) {
+    if (!compact())
+      return false;
+    if (!budget_.allowsCompaction(file_size_ + reserved, live))
+      return false;
+  }
+  reserved_bytes_ = reserved;
   return true;
 }
 
-bool Journal::append(const std::string& payload) {
-  if (state_.apply(payload, kJournalVersion, clock_) != JournalState::Applied::yes)
+bool Journal::append(const Record& record) {
+  if (state_.apply(record) != JournalState::ApplyResult::applied)
     return false;
-  buffer_ += framed(next_number_++, payload);
+  buffer_.append(record);
   return true;
 }
 
-void Journal::recordAccepted(const AcceptedMessage& m) {
-  if (!append(acceptedPayload(m, clock_)))
+void Journal::recordAccepted(const AcceptedMessage& message) {
+  if (!append(AcceptedRecord{message}))
     return;
-  live_ += sizeOnDisk(m) + kSeeThrough;
-  to_sync_ = true;
+  live_bytes_ += bytesToReserve(message);
+  sync_required_ = true;
 }
-void Journal::recordAttempt(const std::string& id, const JournaledAttempt& a) {
-  if (append(attemptedPayload(id, a, clock_)))
-    to_sync_ = true;
+
+void Journal::recordAttempt(const std::string& message_id, const JournaledAttempt& attempt) {
+  if (append(AttemptRecord{message_id, attempt.endpoint, attempt.sent_at}))
+    sync_required_ = true;
 }
-void Journal::recordNeverRan(const std::string& id, std::size_t attempt) {
-  append(neverRanPayload(id, attempt));
+
+void Journal::recordNeverRan(const std::string& message_id, std::size_t attempt_index) {
+  const std::size_t stored_index = static_cast<std::uint8_t>(attempt_index);  // one byte in the file
+  append(AttemptNeverRanRecord{message_id, stored_index});
 }
-void Journal::recordNoticePending(const std::string& id, const CompletionNotice& n) {
-  append(owedPayload(id, n));
+
+void Journal::recordNoticePending(const std::string& message_id, const CompletionNotice& notice) {
+  append(NoticePendingRecord{message_id, notice});
 }
-void Journal::recordCompleted(const std::string& id) {
-  const auto it = state_.entries.find(id);
-  if (it == state_.entries.end())
+
+void Journal::recordCompleted(const std::string& message_id) {
+  const JournalEntry* entry = state_.find(message_id);
+  if (entry == nullptr)
     return;
-  live_ -= sizeOnDisk(it->second.message) + kSeeThrough;
-  append(overPayload(id));
+  live_bytes_ -= bytesToReserve(entry->message);
+  append(CompletedRecord{message_id});
 }
+
 void Journal::recordEndpointList(const std::string& list) {
-  append(listPayload(list));
-  live_ = liveBytes();
-}
-void Journal::recordHealth(const HealthRecord& a) {
-  append(ailingPayload(a, clock_));
-  live_ = liveBytes();
+  append(EndpointListRecord{list});
+  live_bytes_ = liveBytes();
 }
 
-bool Journal::writeAll(int fd, const std::string& data) {
-  for (std::size_t done = 0; done < data.size();) {
-    const ssize_t n = files_.write(fd, data.data() + done, data.size() - done);
-    if (n < 0 && errno == EINTR)
-      continue;
-    if (n <= 0)
-      return false;
-    done += static_cast<std::size_t>(n);
-  }
-  return true;
+void Journal::recordHealth(const HealthRecord& health) {
+  append(HealthStateRecord{health});
+  live_bytes_ = liveBytes();
 }
 
-bool Journal::wasteful(std::uint64_t size) const {
-  return size > 2 * live_ && size - live_ > 4 * kLeastWaste;
+std::uint64_t Journal::liveBytes() const {
+  std::uint64_t live = kMaxHeaderRecordBytes + kFrameOverheadBytes + state_.endpointList().size() +
+                       state_.healthRecords().size() * kMaxHealthRecordBytes;
+  for (const auto& [message_id, entry] : state_.entries())
+    live += bytesToReserve(entry.message);
+  return live;
 }
 
-// Old and new file are there together for a moment, so a rewrite comes while both still fit the budget.
+// ---- Writing
+
 bool Journal::flush() {
-  reserved_ = 0;
-  if (buffer_.empty() && !suspect_)
+  reserved_bytes_ = 0;
+  flush_error_.reset();
+  if (buffer_.empty() && !rewrite_required_)
     return true;
-  const std::uint64_t after = size_ + buffer_.size();
-  const bool must = suspect_ || blocks(after) + blocks(live_) + kLeastWaste > disk_;
-  if ((must || wasteful(after)) && compact())
+  const std::uint64_t size_after = file_size_ + buffer_.size();
+  const bool must_compact = rewrite_required_ || !budget_.allowsCompaction(size_after, live_bytes_);
+  if ((must_compact || isWorthCompacting(size_after)) && compact()) {
+    flush_error_.reset();
     return true;
-  if (suspect_ || blocks(after) > disk_)
+  }
+  if (rewrite_required_ || !budget_.fits(size_after))
     return false;
-  if (!writeAll(fd_, buffer_) || (options_.durable && to_sync_ && files_.sync(fd_) != 0)) {
-    // Half a write is harmless: what waits is written again with the same numbers. A sync that failed tells
-    // nothing of what is on the disk, so all is written anew elsewhere.
-    if (files_.truncate(fd_, static_cast<off_t>(size_)) != 0) {
-      const off_t there = files_.size(fd_);
-      if (there >= 0)
-        size_ = static_cast<std::uint64_t>(there);
-    }
-    suspect_ = suspect_ || options_.durable;
+  flush_error_.reset();  // of a compaction that can wait
+  return appendToFile();
+}
+
+bool Journal::isWorthCompacting(std::uint64_t file_size) const {
+  return file_size > 2 * live_bytes_ && file_size - live_bytes_ > kMinCompactionGainBytes;
+}
+
+bool Journal::appendToFile() {
+  if (!writeAll(files_, file_, buffer_.data())) {
+    failed(FileOperation::write, path_);
+    undoFailedAppend();
     return false;
   }
-  size_ = after;
+  if (!syncIfRequired()) {
+    undoFailedAppend();
+    return false;
+  }
+  file_size_ += buffer_.size();
   buffer_.clear();
-  to_sync_ = false;
+  sync_required_ = false;
   return true;
 }
 
-// Writes anew what is open, then renames: a kill at any moment leaves the old file or the new one, whole.
-bool Journal::compact() {
-  std::vector<const Entry*> order;
-  for (const auto& [id, e] : state_.entries)
-    order.push_back(&e);
-  std::sort(order.begin(), order.end(), [](const Entry* a, const Entry* b) { return a->order < b->order; });
-  std::uint64_t number = next_number_;
-  std::string data;
-  const auto add = [&](const std::string& payload) { data += framed(number++, payload); };
-  add(headPayload(head_));
-  if (!state_.endpoint_list.empty())
-    add(listPayload(state_.endpoint_list));
-  for (const auto& [key, a] : state_.health_records)
-    add(ailingPayload(a, clock_));
-  for (const Entry* e : order) {
-    add(acceptedPayload(e->message, clock_));
-    for (std::size_t i = 0; i < e->attempts.size(); ++i) {
-      add(attemptedPayload(e->message.id, e->attempts[i], clock_));
-      if (e->attempts[i].never_ran)
-        add(neverRanPayload(e->message.id, i));
-    }
-    if (e->notice_pending)
-      add(owedPayload(e->message.id, e->notice));
+bool Journal::syncIfRequired() {
+  if (!options_.durable || !sync_required_)
+    return true;
+  if (files_.sync(file_.get()) != 0)
+    return failed(FileOperation::sync, path_);
+  return true;
+}
+
+// Half of a write does no harm: the buffer is written again, with the same sequence numbers. After a sync
+// that failed it is not known what is on the disk, so all is written anew into another file.
+void Journal::undoFailedAppend() {
+  if (files_.truncate(file_.get(), static_cast<off_t>(file_size_)) != 0) {
+    const off_t size = files_.size(file_.get());
+    if (size >= 0)
+      file_size_ = static_cast<std::uint64_t>(size);
   }
-  if (blocks(size_) + blocks(data.size()) > disk_)
+  rewrite_required_ = rewrite_required_ || options_.durable;
+}
+
+// Writes what is open to a new file and renames it: a kill at any moment leaves the old file or the new one,
+// whole.
+bool Journal::compact() {
+  const RecordBuffer records = compactedRecords();
+  if (!budget_.fitsTogether(file_size_, records.size()))
     return false;
-  const int fd = files_.open(fresh_path_, O_RDWR | O_CREAT | O_TRUNC | O_APPEND);
-  if (fd < 0)
+  if (!replaceFile(records.data()))
     return false;
-  if (!writeAll(fd, data) || (options_.durable && files_.sync(fd) != 0) ||
-      files_.rename(fresh_path_, path_) != 0) {
-    files_.close(fd);
-    files_.unlink(fresh_path_);
+  file_size_ = records.size();
+  buffer_ = RecordBuffer(clock_, records.nextSequenceNumber());
+  sync_required_ = false;
+  live_bytes_ = liveBytes();
+  // A name that is not on the disk may be lost in a power cut, and the old file be back.
+  rewrite_required_ = options_.durable && files_.syncFolder(folder_) != 0;
+  if (rewrite_required_)
+    failed(FileOperation::sync, folder_);
+  return !rewrite_required_;
+}
+
+RecordBuffer Journal::compactedRecords() const {
+  RecordBuffer records(clock_, buffer_.nextSequenceNumber());
+  records.append(header_);
+  if (!state_.endpointList().empty())
+    records.append(EndpointListRecord{state_.endpointList()});
+  for (const auto& [key, health] : state_.healthRecords())
+    records.append(HealthStateRecord{health});
+  for (const JournalEntry* entry : state_.entriesInOrderOfAcceptance())
+    appendEntry(records, *entry);
+  return records;
+}
+
+bool Journal::replaceFile(const std::string& content) {
+  FileDescriptor compacted(files_, files_.open(compaction_path_, O_RDWR | O_CREAT | O_TRUNC | O_APPEND));
+  if (!compacted.isOpen())
+    return failed(FileOperation::open, compaction_path_);
+  if (!moveIntoPlace(compacted, content)) {
+    compacted.reset();
+    files_.unlink(compaction_path_);
     return false;
   }
-  files_.close(fd_);
-  fd_ = fd;
-  size_ = data.size();
-  next_number_ = number;
-  buffer_.clear();
-  to_sync_ = false;
-  live_ = liveBytes();
-  // Whose name is not on the disk may be gone with a power cut, and the old file be back.
-  suspect_ = options_.durable && files_.syncFolder(folder_) != 0;
-  return !suspect_;
+  file_ = std::move(compacted);
+  return true;
+}
+
+bool Journal::moveIntoPlace(const FileDescriptor& compacted, const std::string& content) {
+  if (!writeAll(files_, compacted, content))
+    return failed(FileOperation::write, compaction_path_);
+  if (options_.durable && files_.sync(compacted.get()) != 0)
+    return failed(FileOperation::sync, compaction_path_);
+  if (files_.rename(compaction_path_, path_) != 0)
+    return failed(FileOperation::rename, compaction_path_);
+  return true;
+}
+
+// Keeps errno of the call before as the reason of a flush that fails. Always false.
+bool Journal::failed(FileOperation operation, const std::string& path) {
+  flush_error_.emplace(operation, path, errno);
+  return false;
 }
 
 }  // namespace delivery
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -1,33 +1,42 @@
-// The journal of what this sender has taken on. Append-only records, written before what they
-// promise; rewritten without what is over, and renamed. It keeps what happened and decides nothing. Its
-// format and what it promises: docs/journal.md.
+// The write-ahead journal of accepted messages: records are appended and flushed before what they promise is
+// done. What is no longer needed goes in a compaction, which writes a new file and renames it. It keeps what
+// happened and decides nothing. Format and promises: docs/journal.md.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <vector>
 
+#include "common/clocks.h"
+#include "decision/scheduler.h"
+#include "storage/accepted_message.h"
+#include "storage/disk_budget.h"
 #include "storage/file_system.h"
-#include "storage/journal_format.h"
+#include "storage/journal_error.h"
+#include "storage/journal_state.h"
+#include "storage/record_buffer.h"
+#include "storage/recovery.h"
+#include "storage/recovery_report.h"
 
 namespace delivery {
 
 class Journal {
  public:
-  using Entry = JournalEntry;
   struct Options {
-    std::uint64_t disk_bytes = 0;
-    bool durable = false;  // what is promised outlasts the machine, too
+    std::uint64_t disk_bytes = 0;  // for all files of the journal together
+    bool durable = false;          // promises outlast a power cut: synced before they are made
   };
   struct Recovered {
-    std::vector<Entry> entries;  // in the order in which they were taken on
-    std::string endpoint_list;   // discovery's last list, empty if none
+    std::vector<JournalEntry> entries;  // in the order of acceptance
+    std::string endpoint_list;          // discovery's latest answer, in JSON; empty: none
     std::vector<HealthRecord> health_records;
-    std::string summary;  // one line for the log
+    RecoveryReport report;
     bool damaged = false;
   };
 
-  // Opens or creates the journal in `folder`. Throws std::runtime_error when that can't be done.
+  // Opens or creates the journal in `folder`. Throws JournalError when it can't be opened.
   Journal(const std::string& folder, Options options, const Clocks& now = readClocks(),
           FileSystem& files = FileSystem::system());
   ~Journal();
@@ -37,44 +46,73 @@
   const Recovered& recovered() const { return recovered_; }
   void releaseRecovered() { recovered_ = {}; }
 
-  // Keeps room to take this on and to see it through, old and new file together. It holds until the next
-  // flush, by when the message is either taken on or refused. False: there is none.
-  bool reserve(const AcceptedMessage& m);
-
-  // Each of these appends to a buffer; flush() writes it. False: what it promises must not be done; the
-  // buffer waits for the next flush.
-  void recordAccepted(const AcceptedMessage& m);
-  void recordAttempt(const std::string& id, const JournaledAttempt& a);
-  void recordNeverRan(const std::string& id, std::size_t attempt);
-  void recordNoticePending(const std::string& id, const CompletionNotice& n);
-  void recordCompleted(const std::string& id);  // delivered, withdrawn, or its notice was answered
+  // Reserves room for this message and all records of its life, also during a compaction. The reservation
+  // holds until the next flush, by when the message has to be recorded as accepted or rejected. False: there
+  // is no room.
+  bool reserve(const AcceptedMessage& message);
+
+  // Each of these appends to a buffer, which flush() writes. A record that contradicts those before is left
+  // out.
+  void recordAccepted(const AcceptedMessage& message);
+  void recordAttempt(const std::string& message_id, const JournaledAttempt& attempt);
+  void recordNeverRan(const std::string& message_id, std::size_t attempt_index);
+  void recordNoticePending(const std::string& message_id, const CompletionNotice& notice);
+  void recordCompleted(const std::string& message_id);  // delivered, withdrawn, or its notice was confirmed
   void recordEndpointList(const std::string& list);
-  void recordHealth(const HealthRecord& a);
+  void recordHealth(const HealthRecord& health);
+
+  // False: what the buffered records promise must not be done. They stay buffered for the next flush.
   bool flush();
-  void close();  // flushes; from then on another process may own the files
+  // The file call that made the last flush() fail; none if it succeeded or the disk budget was used up.
+  const std::optional<JournalError>& flushError() const { return flush_error_; }
+
+  // Flushes and closes; from then on another process may own the files.
+  void close();
 
  private:
-  std::string readAll();
+  FileDescriptor openOrThrow();
   void recover(const Clocks& now);
-  void goOnInPlace();
-  void setAside(const std::string& data, const JournalReading& reading);
-  bool append(const std::string& payload);
+  void adoptState(RecoveredJournal& journal, const Clocks& now);
+  void quarantineDamage(const std::string& data, const std::vector<ByteRange>& damaged_ranges);
+  void truncateTornWrite(const ScanResult& scan);
+  bool canAppendTo(const RecoveredJournal& journal) const;
+  void appendRecoveredDoubts();
+  void publishRecovered();
+
+  bool append(const Record& record);
   std::uint64_t liveBytes() const;
-  bool wasteful(std::uint64_t size) const;
+  bool isWorthCompacting(std::uint64_t file_size) const;
+
+  bool appendToFile();
+  bool syncIfRequired();
+  void undoFailedAppend();
   bool compact();
-  bool writeAll(int fd, const std::string& data);
+  RecordBuffer compactedRecords() const;
+  bool replaceFile(const std::string& content);
+  bool moveIntoPlace(const FileDescriptor& compacted, const std::string& content);
+  bool failed(FileOperation operation, const std::string& path);
 
   FileSystem& files_;
-  std::string folder_, path_, fresh_path_, aside_path_;
+  std::string folder_;
+  std::string path_;
+  std::string compaction_path_;
+  std::string quarantine_path_;
   Options options_;
-  std::uint64_t disk_ = 0, size_ = 0, live_ = 0, reserved_ = 0, next_number_ = 1;
-  int fd_ = -1;
-  std::string buffer_;
-  bool to_sync_ = false;  // the buffer holds what is promised on being synced
-  bool suspect_ = false;  // what was written may not be on the disk, and must be written anew
+  DiskBudget budget_;  // without the quarantine's file
+
+  FileDescriptor file_;
+  std::uint64_t file_size_ = 0;
+  std::uint64_t live_bytes_ = 0;      // the size of the file after a compaction, at most
+  std::uint64_t reserved_bytes_ = 0;  // for messages that are accepted or rejected by the next flush
+
+  RecordBuffer buffer_;
+  bool sync_required_ = false;     // the buffer holds records whose promises need a sync
+  bool rewrite_required_ = false;  // the file may not be on the disk as written: it must be written anew
+  std::optional<JournalError> flush_error_;
+
   JournalState state_;
   DiskClock clock_;
-  JournalHead head_;
+  FileHeader header_;
   Recovered recovered_;
 };
 
--- /dev/null
+++ b/src/storage/journal_state.cpp
@@ -0,0 +1,116 @@
+#include "storage/journal_state.h"
+
+#include <algorithm>
+#include <tuple>
+#include <utility>
+
+namespace delivery {
+namespace {
+
+// The time of an unknown attempt of a message that has no known one: long ago.
+constexpr Micros kUnknownAttemptTime = INT64_MIN / 4;
+
+}  // namespace
+
+bool operator<(const HealthKey& a, const HealthKey& b) {
+  return std::tie(a.destination, a.endpoint) < std::tie(b.destination, b.endpoint);
+}
+
+JournalState::ApplyResult JournalState::apply(Record record) {
+  return std::visit([this](auto& typed_record) { return applyRecord(typed_record); }, record);
+}
+
+JournalState::ApplyResult JournalState::applyRecord(FileHeader& /*header*/) {
+  return ApplyResult::applied;
+}
+
+JournalState::ApplyResult JournalState::applyRecord(AcceptedRecord& record) {
+  if (find(record.message.id) != nullptr)
+    return ApplyResult::contradictory;  // the attempts of the open message must not be forgotten
+  const std::string message_id = record.message.id;
+  JournalEntry& entry = entries_[message_id];
+  entry.message = std::move(record.message);
+  entry.acceptance_order = ++last_acceptance_order_;
+  return ApplyResult::applied;
+}
+
+JournalState::ApplyResult JournalState::applyRecord(AttemptRecord& record) {
+  JournalEntry* entry = findMutable(record.message_id);
+  if (entry == nullptr || entry->notice_pending)
+    return ApplyResult::contradictory;
+  entry->attempts.push_back({std::move(record.endpoint), record.sent_at, false});
+  return ApplyResult::applied;
+}
+
+JournalState::ApplyResult JournalState::applyRecord(AttemptNeverRanRecord& record) {
+  JournalEntry* entry = findMutable(record.message_id);
+  if (entry == nullptr || record.attempt_index >= entry->attempts.size())
+    return ApplyResult::contradictory;
+  entry->attempts[record.attempt_index].never_ran = true;
+  return ApplyResult::applied;
+}
+
+JournalState::ApplyResult JournalState::applyRecord(NoticePendingRecord& record) {
+  JournalEntry* entry = findMutable(record.message_id);
+  if (entry == nullptr || entry->notice_pending)
+    return ApplyResult::contradictory;
+  entry->notice_pending = true;
+  entry->notice = record.notice;
+  return ApplyResult::applied;
+}
+
+JournalState::ApplyResult JournalState::applyRecord(CompletedRecord& record) {
+  const bool was_open = entries_.erase(record.message_id) > 0;
+  return was_open ? ApplyResult::applied : ApplyResult::contradictory;
+}
+
+JournalState::ApplyResult JournalState::applyRecord(EndpointListRecord& record) {
+  endpoint_list_ = std::move(record.list);
+  return ApplyResult::applied;
+}
+
+JournalState::ApplyResult JournalState::applyRecord(HealthStateRecord& record) {
+  const HealthKey key{record.health.destination, record.health.endpoint};
+  health_records_[key] = std::move(record.health);
+  return ApplyResult::applied;
+}
+
+void JournalState::assumeUnknownAttempts() {
+  for (auto& [message_id, entry] : entries_) {
+    if (entry.notice_pending)
+      continue;
+    const Micros sent_at = entry.attempts.empty() ? kUnknownAttemptTime : entry.attempts.back().sent_at;
+    entry.attempts.push_back({"", sent_at, false});
+  }
+}
+
+void JournalState::limitDeadlines(Micros now) {
+  for (auto& [message_id, entry] : entries_) {
+    AcceptedMessage& message = entry.message;
+    if (message.time_to_live > 0)
+      message.deadline = std::min(message.deadline, Deadline::after(now, message.time_to_live));
+  }
+}
+
+std::vector<const JournalEntry*> JournalState::entriesInOrderOfAcceptance() const {
+  std::vector<const JournalEntry*> ordered;
+  ordered.reserve(entries_.size());
+  for (const auto& [message_id, entry] : entries_)
+    ordered.push_back(&entry);
+  std::sort(ordered.begin(), ordered.end(), [](const JournalEntry* a, const JournalEntry* b) {
+    return a->acceptance_order < b->acceptance_order;
+  });
+  return ordered;
+}
+
+const JournalEntry* JournalState::find(const std::string& message_id) const {
+  const auto found = entries_.find(message_id);
+  return found == entries_.end() ? nullptr : &found->second;
+}
+
+JournalEntry* JournalState::findMutable(const std::string& message_id) {
+  const auto found = entries_.find(message_id);
+  return found == entries_.end() ? nullptr : &found->second;
+}
+
+}  // namespace delivery
--- /dev/null
+++ b/src/storage/record_buffer.h
@@ -0,0 +1,37 @@
+// Encoded and framed records in a row, with ascending sequence numbers, that wait to be written.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <string>
+
+#include "common/clocks.h"
+#include "storage/record_codec.h"
+#include "storage/record_frame.h"
+
+namespace delivery {
+
+class RecordBuffer {
+ public:
+  RecordBuffer() = default;
+  RecordBuffer(const DiskClock& clock, std::uint64_t next_sequence_number)
+      : clock_(clock), next_sequence_number_(next_sequence_number) {}
+
+  void append(const Record& record) {
+    data_ += frameRecord(next_sequence_number_, encodeRecord(record, clock_));
+    ++next_sequence_number_;
+  }
+  void clear() { data_.clear(); }  // the sequence numbers go on
+
+  const std::string& data() const { return data_; }
+  std::size_t size() const { return data_.size(); }  // in bytes
+  bool empty() const { return data_.empty(); }
+  std::uint64_t nextSequenceNumber() const { return next_sequence_number_; }
+
+ private:
+  DiskClock clock_;
+  std::uint64_t next_sequence_number_ = 1;
+  std::string data_;
+};
+
+}  // namespace delivery
--- a/tests/process/handover_compatibility_test.cpp
+++ b/tests/process/handover_compatibility_test.cpp
@@ -187,7 +187,7 @@
 
 std::map<std::string, JournalEntry> openIn(const std::string& folder) {
   std::ifstream f(folder + "/journal", std::ios::binary);
-  return readJournal({std::istreambuf_iterator<char>(f), {}}, readClocks()).state.entries;
+  return readJournal({std::istreambuf_iterator<char>(f), {}}, readClocks()).state.entries();
 }
 
 // ---- The recorded older process and a real newer one
--- a/tests/storage/journal_compatibility_test.cpp
+++ b/tests/storage/journal_compatibility_test.cpp
@@ -69,7 +69,7 @@
 TEST_P(RecordedJournal, IsReadAsItWas) {
   const Recorded r = recorded(kFolder + "/" + GetParam());
   const std::string data = readFile(r.journal);
-  const JournalReading reading = readJournal(data, r.at);
+  const RecoveredJournal reading = readJournal(data, r.at);
   EXPECT_EQ(r.file, journal_dump::fileText(reading));
   EXPECT_EQ(r.open, journal_dump::openText(reading));
 }
--- a/tests/storage/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -1,12 +1,18 @@
-// The journal on files alone: what a killed process leaves, torn and damaged records, a full budget.
+// The journal on real files: what it returns after a restart, torn writes, damaged records, a full disk
+// budget, and calls that fail.
 #include "storage/journal.h"
 
 #include <gtest/gtest.h>
-#include <sys/stat.h>
 
+#include <cerrno>
+#include <cstdint>
 #include <filesystem>
 #include <fstream>
+#include <iterator>
+#include <string>
+#include <vector>
 
+#include "journal_fixture.h"
 #include "support/loopback.h"
 
 namespace delivery {
@@ -14,167 +20,198 @@
 
 using loopback::TempFolder;
 
-AcceptedMessage message(const std::string& id, std::size_t size = 20) {
-  AcceptedMessage m;
-  m.id = id;
-  m.message_class = "payment";
-  m.idempotency_key = "key" + id;
-  m.body = std::string(size, 'b') + '\0' + "\r\n";
-  m.destination = 7;
-  m.deadline = Deadline(123456789);
-  m.time_to_live = 28'000'000;
-  return m;
+AcceptedMessage binaryMessage(const std::string& id, std::size_t body_bytes = 20) {
+  AcceptedMessage message;
+  message.id = id;
+  message.message_class = "payment";
+  message.idempotency_key = "key" + id;
+  message.body = std::string(body_bytes, 'b') + '\0' + "\r\n";
+  message.destination = 7;
+  message.deadline = Deadline(123456789);
+  message.time_to_live = 28'000'000;
+  return message;
 }
 
 std::string readFile(const std::string& path) {
-  std::ifstream f(path, std::ios::binary);
-  return {std::istreambuf_iterator<char>(f), {}};
+  std::ifstream file(path, std::ios::binary);
+  return {std::istreambuf_iterator<char>(file), {}};
 }
+
 void writeFile(const std::string& path, const std::string& data) {
   std::ofstream(path, std::ios::binary | std::ios::trunc) << data;
 }
 
-TEST(Journal, GivesBackWhatIsOpenInTheOrderTaken) {
-  TempFolder t;
+TEST(Journal, ReturnsOpenMessagesInOrderOfAcceptance) {
+  const TempFolder folder;
   {
-    Journal j(t.path(), {3'000'000});
-    j.recordAccepted(message("b"));
-    j.recordAccepted(message("a"));
-    j.recordAccepted(message("c"));
-    j.recordAttempt("a", {"e1", 55, false});
-    j.recordAttempt("a", {"e2", 66, false});
-    j.recordNeverRan("a", 0);
-    j.recordCompleted("c");
-    j.recordNoticePending("b", {true, 250});
-    j.recordHealth({"", 7, false, 11, 0});
-    j.recordHealth({"", 7, true, 99, 123});
-    j.recordEndpointList("{\"index\":4}");
-    ASSERT_TRUE(j.flush());
+    Journal journal(folder.path(), {kDiskBytes});
+    journal.recordAccepted(binaryMessage("b"));
+    journal.recordAccepted(binaryMessage("a"));
+    journal.recordAccepted(binaryMessage("c"));
+    journal.recordAttempt("a", {"e1", 55, false});
+    journal.recordAttempt("a", {"e2", 66, false});
+    journal.recordNeverRan("a", 0);
+    journal.recordCompleted("c");
+    journal.recordNoticePending("b", {true, 250});
+    journal.recordHealth({"", 7, false, 11, 0});
+    journal.recordHealth({"", 7, true, 99, 123});
+    journal.recordEndpointList("{\"index\":4}");
+    ASSERT_TRUE(journal.flush());
   }
-  Journal j(t.path(), {3'000'000});
-  const auto& r = j.recovered();
-  ASSERT_EQ(2u, r.entries.size());
-  EXPECT_EQ("b", r.entries[0].message.id);
-  EXPECT_TRUE(r.entries[0].notice_pending && r.entries[0].notice.returned);
-  EXPECT_EQ(250, r.entries[0].notice.retry_after_ms);
-  const auto& a = r.entries[1];
-  EXPECT_EQ(message("a").body, a.message.body);
-  EXPECT_EQ("keya", a.message.idempotency_key);
-  EXPECT_EQ(7, a.message.destination);
-  EXPECT_EQ(123456789, a.message.deadline.at());
-  ASSERT_EQ(2u, a.attempts.size());
-  EXPECT_TRUE(a.attempts[0].never_ran);
-  EXPECT_FALSE(a.attempts[1].never_ran);
-  EXPECT_EQ("e2", a.attempts[1].endpoint);
-  EXPECT_EQ(66, a.attempts[1].sent_at);
-  ASSERT_EQ(1u, r.health_records.size());  // the latest of a destination
-  EXPECT_TRUE(r.health_records[0].down);
-  EXPECT_EQ(99, r.health_records[0].warming_since);
-  EXPECT_EQ(123, r.health_records[0].retry_after_until);
-  EXPECT_EQ("{\"index\":4}", r.endpoint_list);
-  EXPECT_FALSE(r.damaged);
-  EXPECT_NE(std::string::npos, r.summary.find("12 records")) << r.summary;
+  const Journal journal(folder.path(), {kDiskBytes});
+  const Journal::Recovered& recovered = journal.recovered();
+  ASSERT_EQ(2u, recovered.entries.size());
+  const JournalEntry& first = recovered.entries[0];
+  EXPECT_EQ("b", first.message.id);
+  EXPECT_TRUE(first.notice_pending && first.notice.returned);
+  EXPECT_EQ(250, first.notice.retry_after_ms);
+  const JournalEntry& second = recovered.entries[1];
+  EXPECT_EQ(binaryMessage("a").body, second.message.body);
+  EXPECT_EQ("keya", second.message.idempotency_key);
+  EXPECT_EQ(7, second.message.destination);
+  EXPECT_EQ(123456789, second.message.deadline.at());
+  ASSERT_EQ(2u, second.attempts.size());
+  EXPECT_TRUE(second.attempts[0].never_ran);
+  EXPECT_FALSE(second.attempts[1].never_ran);
+  EXPECT_EQ("e2", second.attempts[1].endpoint);
+  EXPECT_EQ(66, second.attempts[1].sent_at);
+  ASSERT_EQ(1u, recovered.health_records.size());  // the latest of a destination
+  EXPECT_TRUE(recovered.health_records[0].down);
+  EXPECT_EQ(99, recovered.health_records[0].warming_since);
+  EXPECT_EQ(123, recovered.health_records[0].retry_after_until);
+  EXPECT_EQ("{\"index\":4}", recovered.endpoint_list);
+  EXPECT_FALSE(recovered.damaged);
+  EXPECT_EQ(12u, recovered.report.records) << recovered.report;
 }
 
-TEST(Journal, CutsATornTailAtEveryLengthAndKeepsTheRest) {
-  TempFolder t;
-  const std::string path = t.path() + "/journal";
+TEST(Journal, TruncatesATornWriteAtEveryLengthAndKeepsTheRest) {
+  const TempFolder folder;
+  const std::string path = folder.path() + "/journal";
   {
-    Journal j(t.path(), {3'000'000});
-    j.recordAccepted(message("a"));
-    j.flush();
+    Journal journal(folder.path(), {kDiskBytes});
+    journal.recordAccepted(binaryMessage("a"));
+    journal.flush();
   }
   const std::string first = readFile(path);
   {
-    Journal j(t.path(), {3'000'000});
-    j.recordAccepted(message("b"));
-    j.flush();
+    Journal journal(folder.path(), {kDiskBytes});
+    journal.recordAccepted(binaryMessage("b"));
+    journal.flush();
   }
   const std::string both = readFile(path);
   for (std::size_t size = first.size(); size < both.size(); ++size) {
     writeFile(path, both.substr(0, size));
     {
-      Journal j(t.path(), {3'000'000});
-      ASSERT_EQ(1u, j.recovered().entries.size()) << size;
-      EXPECT_EQ(size > first.size(), j.recovered().summary.find("a torn tail") != std::string::npos);
-      EXPECT_FALSE(j.recovered().damaged);
-      j.recordAccepted(message("c"));  // what comes after the cut is sound
-      ASSERT_TRUE(j.flush());
+      Journal journal(folder.path(), {kDiskBytes});
+      ASSERT_EQ(1u, journal.recovered().entries.size()) << size;
+      EXPECT_EQ(size > first.size(), journal.recovered().report.torn_write);
+      EXPECT_FALSE(journal.recovered().damaged);
+      journal.recordAccepted(binaryMessage("c"));  // what follows the cut is sound
+      ASSERT_TRUE(journal.flush());
     }
-    Journal again(t.path(), {3'000'000});
+    const Journal again(folder.path(), {kDiskBytes});
     ASSERT_EQ(2u, again.recovered().entries.size()) << size;
   }
 }
 
-// A damaged record may have been an attempt of what was open: it must not be sent as if untried.
-TEST(Journal, PassesOverADamagedRecordAndDoubtsWhatWasOpen) {
-  TempFolder t;
-  const std::string path = t.path() + "/journal";
-  std::size_t before = 0;
+// A damaged record may have been an attempt of a message that was open: it must not be sent as if untried.
+TEST(Journal, SkipsADamagedRecordAndAssumesAnAttemptOfOpenMessages) {
+  const TempFolder folder;
+  const std::string path = folder.path() + "/journal";
+  std::size_t attempt_offset = 0;
   {
-    Journal j(t.path(), {3'000'000});
-    j.recordAccepted(message("a"));
-    j.flush();
-    before = std::filesystem::file_size(path);
-    j.recordAttempt("a", {"e1", 55, false});
-    j.flush();
-    j.recordAccepted(message("b"));
-    j.flush();
+    Journal journal(folder.path(), {kDiskBytes});
+    journal.recordAccepted(binaryMessage("a"));
+    journal.flush();
+    attempt_offset = std::filesystem::file_size(path);
+    journal.recordAttempt("a", {"e1", 55, false});
+    journal.flush();
+    journal.recordAccepted(binaryMessage("b"));
+    journal.flush();
   }
   const std::string whole = readFile(path);
-  for (std::size_t at = before; at < before + 20; ++at) {
+  for (std::size_t offset = attempt_offset; offset < attempt_offset + 20; ++offset) {
     std::string data = whole;
-    data[at] = static_cast<char>(data[at] ^ 0x55);
+    data[offset] = static_cast<char>(data[offset] ^ 0x55);
     writeFile(path, data);
-    Journal j(t.path(), {3'000'000});
-    const auto& r = j.recovered();
-    ASSERT_EQ(2u, r.entries.size()) << at;
-    EXPECT_TRUE(r.damaged);
-    ASSERT_EQ(1u, r.entries[0].attempts.size());
-    EXPECT_FALSE(r.entries[0].attempts[0].never_ran);
-    EXPECT_TRUE(r.entries[1].attempts.empty());  // taken on after the damage
+    const Journal journal(folder.path(), {kDiskBytes});
+    const Journal::Recovered& recovered = journal.recovered();
+    ASSERT_EQ(2u, recovered.entries.size()) << offset;
+    EXPECT_TRUE(recovered.damaged);
+    ASSERT_EQ(1u, recovered.entries[0].attempts.size());
+    EXPECT_FALSE(recovered.entries[0].attempts[0].never_ran);
+    EXPECT_TRUE(recovered.entries[1].attempts.empty());  // accepted after the damage
   }
 }
 
-std::uint64_t onDisk(const std::string& folder) {
+std::uint64_t bytesOnDisk(const std::string& folder) {
+  constexpr std::uint64_t kBlockBytes = 512;
   std::uint64_t sum = 0;
-  for (const auto& f : std::filesystem::directory_iterator(folder))
-    sum += (f.file_size() + 511) / 512 * 512;
+  for (const auto& file : std::filesystem::directory_iterator(folder))
+    sum += (file.file_size() + kBlockBytes - 1) / kBlockBytes * kBlockBytes;
   return sum;
 }
 
-// A budget that is exceeded is a crash: so what would not fit is refused, and room comes back with ends.
-TEST(Journal, StaysInsideItsBudgetOldAndNewFileTogether) {
-  TempFolder t;
-  const std::uint64_t budget = 1'000'000;
-  Journal j(t.path(), {budget});
-  int taken = 0, refused = 0;
+// A budget that is exceeded is a crash: what would not fit is rejected, and completed messages free their
+// room.
+TEST(Journal, StaysWithinItsDiskBudgetAlsoDuringCompaction) {
+  const TempFolder folder;
+  constexpr std::uint64_t kBudgetBytes = 1'000'000;
+  Journal journal(folder.path(), {kBudgetBytes});
+  int accepted = 0;
+  int rejected = 0;
   std::vector<std::string> open;
   for (int i = 0; i < 3000; ++i) {
-    const AcceptedMessage m = message("m" + std::to_string(i), 3000);
-    if (!j.reserve(m)) {
-      ++refused;
+    const AcceptedMessage message = binaryMessage("m" + std::to_string(i), 3000);
+    if (!journal.reserve(message)) {
+      ++rejected;
       ASSERT_FALSE(open.empty());
-      j.recordCompleted(open.front());
+      journal.recordCompleted(open.front());
       open.erase(open.begin());
     } else {
-      ++taken;
-      j.recordAccepted(m);
-      open.push_back(m.id);
-      for (int a = 0; a < 12; ++a)
-        j.recordAttempt(m.id, {"s-5be2a07c", i, false});
+      ++accepted;
+      journal.recordAccepted(message);
+      open.push_back(message.id);
+      for (int attempt = 0; attempt < 12; ++attempt)
+        journal.recordAttempt(message.id, {"s-5be2a07c", i, false});
     }
-    ASSERT_TRUE(j.flush()) << i;
-    ASSERT_LE(onDisk(t.path()), budget);
+    ASSERT_TRUE(journal.flush()) << i;
+    ASSERT_LE(bytesOnDisk(folder.path()), kBudgetBytes);
   }
-  EXPECT_GT(taken, 1000);
-  EXPECT_GT(refused, 1000);
-  Journal again(t.path(), {budget});
+  EXPECT_GT(accepted, 1000);
+  EXPECT_GT(rejected, 1000);
+  const Journal again(folder.path(), {kBudgetBytes});
   EXPECT_EQ(open.size(), again.recovered().entries.size());
 }
 
-TEST(Journal, FailsPlainlyWhereItCannotBeKept) {
-  EXPECT_THROW(Journal("/nonexistent/folder", {3'000'000}), std::runtime_error);
+TEST(Journal, ThrowsWhatFailedWhereItCannotBeOpened) {
+  EXPECT_THROW(Journal("/nonexistent/folder", {kDiskBytes}), std::runtime_error);
+  try {
+    const Journal journal("/nonexistent/folder", {kDiskBytes});
+    FAIL() << "it was opened";
+  } catch (const JournalError& error) {
+    EXPECT_EQ(FileOperation::open, error.operation());
+    EXPECT_EQ("/nonexistent/folder/journal", error.path());
+    EXPECT_EQ(ENOENT, error.code().value());
+    EXPECT_STREQ("journal: /nonexistent/folder/journal: No such file or directory", error.what());
+  }
+}
+
+TEST(Journal, NamesTheCallThatMadeAFlushFail) {
+  SimulatedDisk disk;
+  Journal journal(kFolder, {kDiskBytes}, kNow, disk);
+  journal.recordAccepted(testMessage("a"));
+  disk.fail_errno = ENOSPC;
+  disk.fail_count = 1'000'000;
+  EXPECT_FALSE(journal.flush());
+  ASSERT_TRUE(journal.flushError().has_value());
+  EXPECT_EQ(FileOperation::write, journal.flushError()->operation());
+  EXPECT_EQ(kJournalPath, journal.flushError()->path());
+  EXPECT_EQ(ENOSPC, journal.flushError()->code().value());
+  disk.fail_errno = 0;
+  EXPECT_TRUE(journal.flush());
+  EXPECT_FALSE(journal.flushError().has_value());
+  EXPECT_EQ(1u, reopen(disk).entries.count("a"));
 }
 
 }  // namespace
--- a/tests/support/journal_dump.h
+++ b/tests/support/journal_dump.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "storage/journal_format.h"
+#include "storage/recovery.h"
 
 namespace delivery::journal_dump {
 
@@ -34,7 +34,8 @@
 inline std::string openText(std::vector<JournalEntry> entries, const std::string& list,
                             const std::vector<HealthRecord>& health) {
   std::ostringstream out;
-  std::sort(entries.begin(), entries.end(), [](const auto& a, const auto& b) { return a.order < b.order; });
+  std::sort(entries.begin(), entries.end(),
+            [](const auto& a, const auto& b) { return a.acceptance_order < b.acceptance_order; });
   out << "accepted messages still open: " << entries.size() << '\n';
   for (const JournalEntry& e : entries) {
     const std::string m = "message " + quoted(e.message.id) + " ";
@@ -68,40 +69,40 @@
   return out.str();
 }
 
-inline std::string openText(const JournalReading& r) {
+inline std::string openText(const RecoveredJournal& r) {
   std::vector<JournalEntry> entries;
   std::vector<HealthRecord> health;
-  for (const auto& [id, e] : r.state.entries)
+  for (const auto& [id, e] : r.state.entries())
     entries.push_back(e);
-  for (const auto& [key, a] : r.state.health_records)
+  for (const auto& [key, a] : r.state.healthRecords())
     health.push_back(a);
-  return openText(entries, r.state.endpoint_list, health);
+  return openText(entries, r.state.endpointList(), health);
 }
 
-inline std::string fileText(const JournalReading& r) {
+inline std::string fileText(const RecoveredJournal& r) {
   std::ostringstream out;
   out << "records: " << r.scan.records.size() << '\n';
   for (const auto& record : r.scan.records)
-    out << "record number " << record.number << ": format version " << record.version << ", type "
+    out << "record number " << record.sequence_number << ": format version " << record.version << ", type "
         << quoted(std::string(1, record.payload[0])) << ", bytes " << record.payload.size() << '\n';
-  out << "damaged ranges: " << r.scan.damaged.size() << '\n';
-  for (const auto& [from, to] : r.scan.damaged)
-    out << "damaged range: bytes " << from << " to " << to << '\n';
-  out << "gaps in the numbers: " << r.missing << '\n'
-      << "unreadable records: " << r.unreadable << '\n'
-      << "contradictory records: " << r.contradictory << '\n'
-      << "repeated records: " << r.scan.repeated << '\n'
-      << "torn tail: " << yesNo(r.scan.torn) << '\n'
+  out << "damaged ranges: " << r.scan.damaged_ranges.size() << '\n';
+  for (const ByteRange& range : r.scan.damaged_ranges)
+    out << "damaged range: bytes " << range.begin << " to " << range.end << '\n';
+  out << "gaps in the numbers: " << r.gaps << '\n'
+      << "unreadable records: " << r.unreadable_records << '\n'
+      << "contradictory records: " << r.contradictory_records << '\n'
+      << "repeated records: " << r.scan.duplicate_records << '\n'
+      << "torn tail: " << yesNo(r.scan.torn_write) << '\n'
       << "damaged tail: " << yesNo(r.scan.damaged_tail) << '\n'
       << "end of the last sound record: " << r.scan.sound_end << '\n'
       << "counts as damaged: " << yesNo(r.damaged()) << '\n'
       << "power cut: " << yesNo(r.power_cut) << '\n'
-      << "monotonic clock goes on: " << yesNo(r.same_clock) << '\n'
+      << "monotonic clock goes on: " << yesNo(r.clock_continues) << '\n'
       << "clock shift used, us: " << r.clock.shift() << '\n'
-      << "next record number: " << r.next_number << '\n'
-      << "file head: version " << r.head.version << ", durable: " << yesNo(r.head.durable)
-      << ", clock shift us " << r.head.clock_shift << ", written at disk us " << r.head.written_at
-      << ", boot " << quoted(r.head.boot) << '\n';
+      << "next record number: " << r.next_sequence_number << '\n'
+      << "file head: version " << r.header.version << ", durable: " << yesNo(r.header.durable)
+      << ", clock shift us " << r.header.clock_shift << ", written at disk us " << r.header.written_at
+      << ", boot " << quoted(r.header.boot) << '\n';
   return out.str();
 }
 
