--- a/src/programs/journal_inspect.cpp
+++ b/src/programs/journal_inspect.cpp
@@ -39,13 +39,13 @@
 }
 
 void printPendingNotice(const JournalEntry& entry) {
-  std::cout << "owed " << entry.message.id << ": " << (entry.notice.returned ? "handed back" : "given up")
-            << '\n';
+  std::cout << "notice pending " << entry.message.id << ": "
+            << (entry.notice.returned ? "returned" : "abandoned") << '\n';
 }
 
 void printOpenMessage(const JournalEntry& entry, std::size_t may_have_run, delivery::Micros now) {
   constexpr delivery::Micros kMicrosPerMillisecond = 1000;
-  std::cout << "held " << entry.message.id << ": destination " << entry.message.destination << ", "
+  std::cout << "open " << entry.message.id << ": destination " << entry.message.destination << ", "
             << entry.attempts.size() << " attempts, of which " << may_have_run << " may have run, "
             << entry.message.deadline.remaining(now) / kMicrosPerMillisecond << " ms left\n";
 }
@@ -76,17 +76,17 @@
 void printSummary(const RecoveredJournal& journal, std::size_t bytes, const EntryCounts& counts) {
   std::cout << journal.scan.records.size() << " records in " << bytes << " bytes, version "
             << journal.header.version << (journal.header.durable ? ", durable" : "")
-            << (journal.scan.torn_write ? ", a torn tail" : "") << '\n';
-  std::cout << counts.open << " messages held, " << counts.may_have_run << " of them may have run; "
-            << counts.pending_notices << " notices owed\n";
+            << (journal.scan.torn_write ? ", a torn write at the end" : "") << '\n';
+  std::cout << counts.open << " messages open, " << counts.may_have_run << " of them may have run; "
+            << counts.pending_notices << " notices pending\n";
 }
 
 void printDamage(const RecoveredJournal& journal) {
   for (const ByteRange& range : journal.scan.damaged_ranges)
     std::cout << "damaged: bytes " << range.begin << " to " << range.end << '\n';
-  std::cout << journal.scan.damaged_ranges.size() << " damaged stretches, " << journal.gaps << " gaps, "
-            << journal.unreadable_records << " records of an unknown kind, " << journal.contradictory_records
-            << " contradictory, " << journal.scan.duplicate_records << " repeated\n";
+  std::cout << journal.scan.damaged_ranges.size() << " damaged ranges, " << journal.gaps << " gaps, "
+            << journal.unreadable_records << " unreadable records, " << journal.contradictory_records
+            << " contradictory records, " << journal.scan.duplicate_records << " duplicate records\n";
 }
 
 void printQuarantine(const std::string& folder) {
