--- a/src/process/handover_predecessor.h
+++ b/src/process/handover_predecessor.h
@@ -11,7 +11,7 @@
 
 namespace delivery {
 
-// Keeps the connection to the successor and what has to be told to it, and applies the successor's messages
+// Keeps the connection to the successor and what has to be sent to it, and applies the successor's messages
 // to the calls that this process still has in flight. When to release the journal is decided by
 // SenderProcess.
 class HandoverPredecessor {
--- a/src/process/handover_successor.h
+++ b/src/process/handover_successor.h
@@ -35,7 +35,7 @@
   bool predecessorReleased() const { return released_; }
   const std::set<CallId>& callsInPredecessor() const { return calls_in_predecessor_; }
 
-  // Outcomes that came before this process owned the journal.
+  // Outcomes that arrived before this process owned the journal.
   void deferOutcome(AttemptOutcome outcome) { deferred_outcomes_.push_back(std::move(outcome)); }
   const std::vector<AttemptOutcome>& deferredOutcomes() const { return deferred_outcomes_; }
   std::vector<AttemptOutcome> takeDeferredOutcomes();
--- a/tests/process/sender_test.cpp
+++ b/tests/process/sender_test.cpp
@@ -73,8 +73,8 @@
 // long; a client that is idle between messages does.
 TEST(SenderProgram, SilentPeersAndIncompleteRequestsAreClosed) {
   Fleet fleet(deliver);
-  Client resting(fleet.program.port());
-  EXPECT_EQ("+OK", resting.put("first", "order", 7));
+  Client idle_client(fleet.program.port());
+  EXPECT_EQ("+OK", idle_client.put("first", "order", 7));
   Client silent(fleet.program.port()), idle(fleet.program.port()), half(fleet.program.port()),
       later(fleet.program.port());
   EXPECT_EQ("+PONG", idle.ask({"PING"}));
@@ -82,11 +82,11 @@
   EXPECT_EQ("+PONG", later.ask({"PING"}));
   later.send("*5\r\n$7\r\nMSG");
   std::atomic<bool> stop{false};
-  Client dripping(fleet.program.port());
-  std::thread drops([&] {
-    dripping.send("*5\r\n$7\r\nMSG.PUT\r\n$60000\r\n");
+  Client slow_sender(fleet.program.port());
+  std::thread slow_bytes([&] {
+    slow_sender.send("*5\r\n$7\r\nMSG.PUT\r\n$60000\r\n");
     while (!stop) {
-      dripping.send("0");
+      slow_sender.send("0");
       std::this_thread::sleep_for(5ms);
     }
   });
@@ -94,10 +94,10 @@
   EXPECT_TRUE(silent.closed());
   EXPECT_TRUE(idle.closed());
   EXPECT_TRUE(half.closed());
-  EXPECT_TRUE(dripping.closed());
+  EXPECT_TRUE(slow_sender.closed());
   stop = true;
-  drops.join();
-  EXPECT_EQ("+OK", resting.put("fine", "order", 7));
+  slow_bytes.join();
+  EXPECT_EQ("+OK", idle_client.put("fine", "order", 7));
 }
 
 // More peers than the table holds send PING and stay idle: a client that connects after them is served.
@@ -117,17 +117,17 @@
 // its connection, and one that connects after them is served.
 TEST(SenderProgram, SilentPeersMakeRoomBeforeAnIdleClient) {
   Fleet fleet(deliver);
-  Client resting(fleet.program.port());
-  ASSERT_EQ("+OK", resting.put("first", "order", 7));
+  Client idle_client(fleet.program.port());
+  ASSERT_EQ("+OK", idle_client.put("first", "order", 7));
   Client silent(fleet.program.port());
-  ASSERT_TRUE(silent.closed());  // by now the client has rested as long as that one was waited for
+  ASSERT_TRUE(silent.closed());  // by now the client has been idle for as long as that peer was waited for
   std::vector<std::unique_ptr<Client>> crowd;
   crowd.reserve(2000);
   for (int i = 0; i < 2000; ++i)
     crowd.push_back(std::make_unique<Client>(fleet.program.port()));
   Client behind(fleet.program.port());
   EXPECT_EQ("+OK", behind.put("second", "order", 7));
-  EXPECT_EQ("+OK", resting.put("third", "order", 7));
+  EXPECT_EQ("+OK", idle_client.put("third", "order", 7));
 }
 
 TEST(SenderProgram, AnInvalidConfigurationIsOneLogLineAndAnExitCode) {
@@ -274,7 +274,8 @@
     ASSERT_EQ("+OK", client.put("short", "payment", 7, "x", 300));
     ASSERT_TRUE(fleet.endpoint.waitFor(1));
   }
-  ASSERT_TRUE(eventually([&] { return fleet.agent.refused > 0; }));  // its time is up, its notice refused
+  ASSERT_TRUE(
+      eventually([&] { return fleet.agent.refused > 0; }));  // it has expired, and its notice was rejected
   fleet.program.kill();
   fleet.agent.refuse_notices = false;
   fleet.program.start();
@@ -313,21 +314,21 @@
   });
   Program program(folder.path(), agent.address(), json::array({listed("e1", endpoint.address(), 7)}));
   Client client(program.port());
-  ASSERT_EQ("+OK", client.put("told", "notice", 7));
+  ASSERT_EQ("+OK", client.put("throttled", "notice", 7));
   ASSERT_TRUE(endpoint.waitFor(1));
-  const auto told = std::chrono::steady_clock::now();
-  ASSERT_EQ("+OK", client.put("untried", "notice", 7));
+  const auto throttled_at = std::chrono::steady_clock::now();
+  ASSERT_EQ("+OK", client.put("without-attempt", "notice", 7));
   shut = false;
   program.kill();
   program.start();
   EXPECT_TRUE(endpoint.waitFor(2));
   EXPECT_TRUE(eventually([&] {
     for (const Seen& request : endpoint.seen())
-      if (request.field("X-Txn") == "untried")
+      if (request.field("X-Txn") == "without-attempt")
         return true;
     return false;
   }));
-  EXPECT_LT(std::chrono::steady_clock::now() - told, 20s);  // before the wait would have been over
+  EXPECT_LT(std::chrono::steady_clock::now() - throttled_at, 20s);  // before the Retry-After ends
 }
 
 // A drain holds from the turn in which it is received, also for the next process, whose configuration is
@@ -401,17 +402,17 @@
     std::atomic<bool> down{true};
     std::mutex mutex;
     std::set<std::string> may_have_run, delivered;
-    Server told([&](const Seen& request) {
+    Server throttled([&](const Seen& request) {
       if (down)
         return Act{answer("429 Full", "Retry-After: 20\r\n")};
       std::lock_guard<std::mutex> lock(mutex);
       const std::string id = request.field("X-Txn");
       const bool first = delivered.insert(id).second;
-      if (id != "told0" && id.rfind("told", 0) == 0)
+      if (id != "throttled0" && id.rfind("throttled", 0) == 0)
         EXPECT_TRUE(first) << id;  // payments
       return Act{answer("200 OK")};
     });
-    Server away([&](const Seen& request) {
+    Server unavailable([&](const Seen& request) {
       std::lock_guard<std::mutex> lock(mutex);
       EXPECT_EQ(0u, may_have_run.count(request.field("X-Txn"))) << request.field("X-Txn");
       if (down) {
@@ -432,11 +433,12 @@
     json settings = plainSettings();
     settings["Ceilings"]["MaxOpen"] = 20;
     settings["Ceilings"]["DialTimeoutMs"] = 20000.0;
-    settings["Rules"]["RampTimeMs"] = 1000.0;  // what was away is paced for so long
-    Program program(folder.path(), agent.address(),
-                    json::array({listed("told", told.address(), 7), listed("away", away.address(), 8),
-                                 listed("late", stuck.address(), 9)}),
-                    3, settings);
+    settings["Rules"]["RampTimeMs"] = 1000.0;  // what was unavailable is paced for so long
+    Program program(
+        folder.path(), agent.address(),
+        json::array({listed("throttled", throttled.address(), 7),
+                     listed("unavailable", unavailable.address(), 8), listed("late", stuck.address(), 9)}),
+        3, settings);
     ASSERT_TRUE(agent.waitForWatch(1));
     std::vector<std::string> accepted;
     {
@@ -445,14 +447,14 @@
         if (client.put(id, cls, dest) == "+OK")
           accepted.push_back(id);
       };
-      put("told0", "notice", 7);
-      ASSERT_TRUE(told.waitFor(1));
-      put("away0", "payment", 8);
-      ASSERT_TRUE(away.waitFor(1));
+      put("throttled0", "notice", 7);
+      ASSERT_TRUE(throttled.waitFor(1));
+      put("unavailable0", "payment", 8);
+      ASSERT_TRUE(unavailable.waitFor(1));
       for (int i = 1; i < 6; ++i)
-        put("told" + std::to_string(i), "payment", 7);
+        put("throttled" + std::to_string(i), "payment", 7);
       for (int i = 1; i < 6; ++i)
-        put("away" + std::to_string(i), "payment", 8);
+        put("unavailable" + std::to_string(i), "payment", 8);
       for (int i = 0; i < 3; ++i)
         put("late" + std::to_string(i), "order", 9);
     }
--- a/tests/process/upgrade_test.cpp
+++ b/tests/process/upgrade_test.cpp
@@ -62,7 +62,7 @@
   Upgrade upgrade;
   upgrade.script = [](const Seen&) {
     std::this_thread::sleep_for(
-        20ms);  // time-outs follow the usual latency: far above a pause of the machine
+        20ms);  // time-outs follow the usual latency; this keeps them far above pauses of the machine
     return Act{answer("200 OK")};
   };
   auto predecessor = upgrade.start();
@@ -130,7 +130,7 @@
   EXPECT_EQ(0u, predecessor->operate("DRAIN").find("ERR"));
   upgrade.allowAnswers();
   EXPECT_TRUE(exitedWithSuccess(*predecessor));
-  successor->kill();  // and it is written down
+  successor->kill();  // the outcomes are in its journal
   successor->start();
   ASSERT_EQ("+OK", Client(upgrade.passed.port).put("after", "payment", 7));
   ASSERT_TRUE(upgrade.endpoint.waitFor(2));
@@ -179,11 +179,11 @@
 
 TEST(Upgrade, ARetryAfterHoldsInTheSuccessor) {
   Upgrade upgrade;
-  std::atomic<Micros> told{0}, next_call{0};
+  std::atomic<Micros> throttled_at{0}, next_call{0};
   const auto now = [] { return std::chrono::steady_clock::now().time_since_epoch() / 1us; };
   upgrade.script = [&](const Seen&) {
-    if (told == 0) {
-      told = now();
+    if (throttled_at == 0) {
+      throttled_at = now();
       return Act{answer("429 Full", "Retry-After: 2.5\r\n")};
     }
     if (next_call == 0)
@@ -197,7 +197,7 @@
   ASSERT_EQ("+OK", Client(upgrade.passed.port).put("n", "notice", 7));
   ASSERT_TRUE(upgrade.endpoint.waitFor(2));
   EXPECT_TRUE(eventually([&] { return next_call > 0; }));
-  EXPECT_GE(next_call - told, 2'500'000);
+  EXPECT_GE(next_call - throttled_at, 2'500'000);
 }
 
 // The predecessor receives the Retry-After once it has handed over, in an answer that never ends; the
