--- a/src/common/clocks.cpp
+++ b/src/common/clocks.cpp
@@ -22,12 +22,12 @@
   return microsNow<std::chrono::system_clock>();
 }
 
-Clocks readClocks() {
-  Clocks clocks;
-  clocks.monotonic = monotonicNow();
-  clocks.unix = unixNow();
-  std::ifstream("/proc/sys/kernel/random/boot_id") >> clocks.boot;
-  return clocks;
+ClockReadings readClocks() {
+  ClockReadings now;
+  now.monotonic = monotonicNow();
+  now.unix = unixNow();
+  std::ifstream("/proc/sys/kernel/random/boot_id") >> now.boot;
+  return now;
 }
 
 }  // namespace delivery
--- a/src/programs/journal_inspect.cpp
+++ b/src/programs/journal_inspect.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using delivery::ByteRange;
-using delivery::Clocks;
+using delivery::ClockReadings;
 using delivery::JournalEntry;
 using delivery::RecoveredJournal;
 
@@ -103,7 +103,7 @@
     std::cerr << "can't be read: " << path << '\n';
     return ExitCode::unreadable_or_usage;
   }
-  const Clocks now = delivery::readClocks();
+  const ClockReadings now = delivery::readClocks();
   const RecoveredJournal journal = delivery::readJournal(*data, now);
   if (!data->empty() && journal.scan.records.empty()) {
     std::cerr << "not a journal: " << path << '\n';
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-Journal::Journal(const std::string& folder, Options options, const Clocks& now, FileSystem& files)
+Journal::Journal(const std::string& folder, Options options, const ClockReadings& now, FileSystem& files)
     : files_(files),
       folder_(folder),
       path_(folder + "/journal"),
@@ -93,7 +93,7 @@
   return file;
 }
 
-void Journal::recover(const Clocks& now) {
+void Journal::recover(const ClockReadings& now) {
   const FileContent content = readAll(files_, file_);
   RecoveredJournal journal = readJournal(content.data, now);
   if (content.error != 0) {  // what follows in the file counts as damaged
@@ -115,11 +115,11 @@
   publishRecovered();
 }
 
-void Journal::adoptState(RecoveredJournal& journal, const Clocks& now) {
+void Journal::adoptState(RecoveredJournal& journal, const ClockReadings& now) {
   state_ = std::move(journal.state);
   clock_ = journal.clock;
   buffer_ = RecordBuffer(clock_, journal.next_sequence_number);
-  header_ = {kJournalVersion, options_.durable, clock_.shift(), clock_.toDisk(now.monotonic), now.boot};
+  header_ = {kJournalVersion, options_.durable, clock_.shift(), clock_.toStored(now.monotonic), now.boot};
   live_bytes_ = liveBytes();
 }
 
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -37,7 +37,7 @@
   };
 
   // Opens or creates the journal in `folder`. Throws JournalError when it can't be opened.
-  Journal(const std::string& folder, Options options, const Clocks& now = readClocks(),
+  Journal(const std::string& folder, Options options, const ClockReadings& now = readClocks(),
           FileSystem& files = FileSystem::system());
   ~Journal();
   Journal(const Journal&) = delete;
@@ -71,8 +71,8 @@
 
  private:
   FileDescriptor openOrThrow();
-  void recover(const Clocks& now);
-  void adoptState(RecoveredJournal& journal, const Clocks& now);
+  void recover(const ClockReadings& now);
+  void adoptState(RecoveredJournal& journal, const ClockReadings& now);
   void quarantineDamage(const std::string& data, const std::vector<ByteRange>& damaged_ranges);
   void truncateTornWrite(const ScanResult& scan);
   bool canAppendTo(const RecoveredJournal& journal) const;
@@ -111,7 +111,7 @@
   std::optional<JournalError> flush_error_;
 
   JournalState state_;
-  DiskClock clock_;
+  PersistentClock clock_;
   FileHeader header_;
   Recovered recovered_;
 };
--- a/src/storage/record_buffer.h
+++ b/src/storage/record_buffer.h
@@ -14,7 +14,7 @@
 class RecordBuffer {
  public:
   RecordBuffer() = default;
-  RecordBuffer(const DiskClock& clock, std::uint64_t next_sequence_number)
+  RecordBuffer(const PersistentClock& clock, std::uint64_t next_sequence_number)
       : clock_(clock), next_sequence_number_(next_sequence_number) {}
 
   void append(const Record& record) {
@@ -29,7 +29,7 @@
   std::uint64_t nextSequenceNumber() const { return next_sequence_number_; }
 
  private:
-  DiskClock clock_;
+  PersistentClock clock_;
   std::uint64_t next_sequence_number_ = 1;
   std::string data_;
 };
--- a/src/storage/record_codec.cpp
+++ b/src/storage/record_codec.cpp
@@ -70,7 +70,7 @@
 
 class Encoder {
  public:
-  explicit Encoder(const DiskClock& clock) : clock_(clock) {}
+  explicit Encoder(const PersistentClock& clock) : clock_(clock) {}
 
   std::string operator()(const FileHeader& header) const {
     return PayloadWriter(RecordType::file_header)
@@ -91,7 +91,7 @@
         .text(message.idempotency_key)
         .text(message.body)
         .integer(message.destination)
-        .integer(clock_.toDisk(message.deadline))
+        .integer(clock_.toStored(message.deadline))
         .boolean(message.is_retry)
         .text(message.tenant)
         .integer(message.time_to_live)
@@ -102,7 +102,7 @@
     return PayloadWriter(RecordType::attempt)
         .text(record.message_id)
         .text(record.endpoint)
-        .integer(clock_.toDisk(record.sent_at))
+        .integer(clock_.toStored(record.sent_at))
         .take();
   }
 
@@ -135,16 +135,16 @@
         .text(health.endpoint)
         .integer(health.destination)
         .boolean(health.down)
-        .integer(clock_.toDisk(health.warming_since))
-        .integer(clock_.toDisk(health.retry_after_until))
+        .integer(clock_.toStored(health.warming_since))
+        .integer(clock_.toStored(health.retry_after_until))
         .take();
   }
 
  private:
-  const DiskClock& clock_;
+  const PersistentClock& clock_;
 };
 
-AcceptedRecord decodeAccepted(PayloadReader& reader, const DiskClock& clock) {
+AcceptedRecord decodeAccepted(PayloadReader& reader, const PersistentClock& clock) {
   AcceptedRecord record;
   AcceptedMessage& message = record.message;
   message.id = reader.text();
@@ -153,7 +153,7 @@
   message.idempotency_key = reader.text();
   message.body = reader.text();
   message.destination = reader.integer();
-  message.deadline = clock.deadlineFromDisk(reader.integer());
+  message.deadline = clock.deadlineFromStored(reader.integer());
   message.is_retry = reader.boolean();
   if (reader.hasMore())
     message.tenant = reader.text();
@@ -162,11 +162,11 @@
   return record;
 }
 
-AttemptRecord decodeAttempt(PayloadReader& reader, const DiskClock& clock) {
+AttemptRecord decodeAttempt(PayloadReader& reader, const PersistentClock& clock) {
   AttemptRecord record;
   record.message_id = reader.text();
   record.endpoint = reader.text();
-  record.sent_at = clock.fromDisk(reader.integer());
+  record.sent_at = clock.fromStored(reader.integer());
   return record;
 }
 
@@ -185,14 +185,14 @@
   return record;
 }
 
-HealthStateRecord decodeHealth(PayloadReader& reader, const DiskClock& clock) {
+HealthStateRecord decodeHealth(PayloadReader& reader, const PersistentClock& clock) {
   HealthStateRecord record;
   HealthRecord& health = record.health;
   health.endpoint = reader.text();
   health.destination = reader.integer();
   health.down = reader.boolean();
-  health.warming_since = clock.fromDisk(reader.integer());
-  health.retry_after_until = clock.fromDisk(reader.hasMore() ? reader.integer() : 0);
+  health.warming_since = clock.fromStored(reader.integer());
+  health.retry_after_until = clock.fromStored(reader.hasMore() ? reader.integer() : 0);
   return record;
 }
 
@@ -219,7 +219,7 @@
 
 RecordDecodeError::RecordDecodeError(Reason reason) : std::runtime_error(describe(reason)), reason_(reason) {}
 
-std::string encodeRecord(const Record& record, const DiskClock& clock) {
+std::string encodeRecord(const Record& record, const PersistentClock& clock) {
   return std::visit(Encoder(clock), record);
 }
 
@@ -249,7 +249,7 @@
   return header;
 }
 
-Record decodeRecord(std::string_view payload, std::int64_t version, const DiskClock& clock) {
+Record decodeRecord(std::string_view payload, std::int64_t version, const PersistentClock& clock) {
   PayloadReader reader(payload, version);
   switch (recordTypeOf(payload)) {
     case RecordType::file_header:
--- a/src/storage/record_codec.h
+++ b/src/storage/record_codec.h
@@ -34,7 +34,7 @@
 struct FileHeader {
   std::int64_t version = 0;
   bool durable = false;    // what was promised had been synced before
-  Micros clock_shift = 0;  // of the DiskClock of all times in the file
+  Micros clock_shift = 0;  // of the PersistentClock of all times in the file
   Micros written_at = 0;   // on the disk's clock
   std::string boot;        // the kernel's boot id; empty: not known
 };
@@ -79,7 +79,7 @@
 };
 
 // The payload in version kJournalVersion, from the type on. `clock` changes points in time into the disk's.
-std::string encodeRecord(const Record& record, const DiskClock& clock);
+std::string encodeRecord(const Record& record, const PersistentClock& clock);
 
 // The size in bytes of the payload of an AcceptedRecord.
 std::size_t encodedSize(const AcceptedMessage& message);
@@ -87,7 +87,7 @@
 // Decodes a payload, from the type on and not empty, of a record in the given version. With a
 // default-constructed `clock` points in time stay as they are on disk. Throws RecordDecodeError, also for a
 // header of a newer version.
-Record decodeRecord(std::string_view payload, std::int64_t version, const DiskClock& clock);
+Record decodeRecord(std::string_view payload, std::int64_t version, const PersistentClock& clock);
 
 // Decodes the payload of a file header, also of a newer version. Throws RecordDecodeError.
 FileHeader decodeFileHeader(std::string_view payload);
--- a/src/storage/recovery.cpp
+++ b/src/storage/recovery.cpp
@@ -8,7 +8,9 @@
 
 class JournalReader {
  public:
-  JournalReader(const std::string& data, const Clocks& now) : now_(now) { journal_.scan = scanRecords(data); }
+  JournalReader(const std::string& data, const ClockReadings& now) : now_(now) {
+    journal_.scan = scanRecords(data);
+  }
 
   RecoveredJournal read() {
     findNewestHeader();
@@ -45,7 +47,7 @@
     if (type == RecordType::file_header)
       journal_.header = decodeFileHeader(record.payload);
     if (type == RecordType::attempt) {
-      const Record attempt = decodeRecord(record.payload, record.version, DiskClock());
+      const Record attempt = decodeRecord(record.payload, record.version, PersistentClock());
       newest_time_on_disk_ = std::max(newest_time_on_disk_, std::get<AttemptRecord>(attempt).sent_at);
     }
   }
@@ -54,10 +56,10 @@
   // even if the boot seems to be the same: a boot id may be unknown.
   void chooseClock() {
     const FileHeader& header = journal_.header;
-    const DiskClock clock_of_file(header.clock_shift);
+    const PersistentClock clock_of_file(header.clock_shift);
     journal_.clock_continues = header.version > 0 && header.boot == now_.boot &&
-                               clock_of_file.toDisk(now_.monotonic) >= newest_time_on_disk_;
-    journal_.clock = journal_.clock_continues ? clock_of_file : DiskClock::of(now_);
+                               clock_of_file.toStored(now_.monotonic) >= newest_time_on_disk_;
+    journal_.clock = journal_.clock_continues ? clock_of_file : PersistentClock::startingNow(now_);
   }
 
   void detectPowerCut() {
@@ -86,7 +88,7 @@
     journal_.state.assumeUnknownAttempts();
   }
 
-  const Clocks& now_;
+  const ClockReadings& now_;
   RecoveredJournal journal_;
   Micros newest_time_on_disk_ = 0;  // on the disk's clock
   std::uint64_t last_sequence_number_ = 0;
@@ -98,7 +100,7 @@
   return !scan.damaged_ranges.empty() || gaps > 0 || unreadable_records > 0 || contradictory_records > 0;
 }
 
-RecoveredJournal readJournal(const std::string& data, const Clocks& now) {
+RecoveredJournal readJournal(const std::string& data, const ClockReadings& now) {
   return JournalReader(data, now).read();
 }
 
--- a/src/storage/recovery.h
+++ b/src/storage/recovery.h
@@ -23,13 +23,13 @@
   std::uint64_t next_sequence_number = 1;
   bool power_cut = false;        // another boot, and what was promised need not have been synced before
   bool clock_continues = false;  // the monotonic clock is the one of the process that wrote the file
-  DiskClock clock;               // of the times in the file, and of those to come
+  PersistentClock clock;         // of the times in the file, and of those to come
 
   // Whether anything was lost other than by a write that was cut short.
   bool damaged() const;
 };
 
 // The scan's records point into `data`, which has to outlive them.
-RecoveredJournal readJournal(const std::string& data, const Clocks& now);
+RecoveredJournal readJournal(const std::string& data, const ClockReadings& now);
 
 }  // namespace delivery
--- a/tests/storage/journal_compatibility_test.cpp
+++ b/tests/storage/journal_compatibility_test.cpp
@@ -27,7 +27,7 @@
 // A recorded reading: FILE.CASE.expected, of FILE.journal, at the clocks that its first three lines state.
 struct Recorded {
   std::string name, journal;
-  Clocks at;
+  ClockReadings at;
   std::string file, open;  // the parts of the text: of the file as such, and of what it leaves open
 };
 
--- a/tests/storage/journal_fixture.h
+++ b/tests/storage/journal_fixture.h
@@ -15,7 +15,7 @@
 namespace delivery {
 
 constexpr Micros kSecondMicros = 1'000'000;
-inline const Clocks kNow{100 * kSecondMicros, 1'700'000'000 * kSecondMicros, "boot-a"};
+inline const ClockReadings kNow{100 * kSecondMicros, 1'700'000'000 * kSecondMicros, "boot-a"};
 
 constexpr std::uint64_t kDiskBytes = 3'000'000;
 constexpr char kFolder[] = "d";
@@ -37,7 +37,7 @@
 
 // A journal with every type of record. Of its messages "run" was sent and may have run, "never" was sent and
 // never ran, "new" was not sent, "pending" has a pending notice, and "completed" is completed.
-inline std::string journalWithEveryRecordType(bool durable = false, const Clocks& now = kNow) {
+inline std::string journalWithEveryRecordType(bool durable = false, const ClockReadings& now = kNow) {
   SimulatedDisk disk;
   {
     Journal journal(kFolder, {kDiskBytes, durable}, now, disk);
@@ -80,7 +80,7 @@
   }
 };
 
-inline ReopenedJournal reopen(SimulatedDisk& disk, const Clocks& now = kNow, bool durable = false) {
+inline ReopenedJournal reopen(SimulatedDisk& disk, const ClockReadings& now = kNow, bool durable = false) {
   const Journal journal(kFolder, {kDiskBytes, durable}, now, disk);
   ReopenedJournal reopened;
   reopened.damaged = journal.recovered().damaged;
@@ -90,7 +90,7 @@
   return reopened;
 }
 
-inline ReopenedJournal reopen(const std::string& data, const Clocks& now = kNow) {
+inline ReopenedJournal reopen(const std::string& data, const ClockReadings& now = kNow) {
   SimulatedDisk disk;
   disk.setContent(kJournalPath, data);
   return reopen(disk, now);
--- a/tests/storage/power_cut_test.cpp
+++ b/tests/storage/power_cut_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 TEST(PowerCut, WithoutDurableOpenMessagesMayHaveRun) {
-  const Clocks rebooted{kSecondMicros, kNow.unix + kSecondMicros, "boot-b"};
+  const ClockReadings rebooted{kSecondMicros, kNow.unix + kSecondMicros, "boot-b"};
   const ReopenedJournal reopened = reopen(journalWithEveryRecordType(false), rebooted);
   EXPECT_EQ(1u, countAttemptsThatMayHaveRun(reopened.entries.at("new")));
   EXPECT_TRUE(reopened.report.power_cut) << reopened.report;
--- a/tests/storage/record_codec_test.cpp
+++ b/tests/storage/record_codec_test.cpp
@@ -13,7 +13,7 @@
 
 using namespace std::string_literals;
 
-const DiskClock kClock(1000);
+const PersistentClock kClock(1000);
 
 template <class RecordStruct>
 RecordStruct roundTrip(const RecordStruct& record) {
--- a/tests/storage/recovery_model_test.cpp
+++ b/tests/storage/recovery_model_test.cpp
@@ -174,7 +174,7 @@
   std::mt19937 random_;
   SimulatedDisk disk_;
   bool durable_;
-  Clocks now_ = kNow;
+  ClockReadings now_ = kNow;
   int last_message_ = 0;
   int boots_ = 0;
   std::map<std::string, std::size_t> attempts_;  // of each open message in this process
--- a/tests/storage/recovery_test.cpp
+++ b/tests/storage/recovery_test.cpp
@@ -113,12 +113,12 @@
   }
 }
 
-FileHeader headerOfVersion(std::int64_t version, const DiskClock& clock) {
-  return {version, false, clock.shift(), clock.toDisk(kNow.monotonic), kNow.boot};
+FileHeader headerOfVersion(std::int64_t version, const PersistentClock& clock) {
+  return {version, false, clock.shift(), clock.toStored(kNow.monotonic), kNow.boot};
 }
 
 TEST(Recovery, ContradictoryRecordsChangeNothing) {
-  const DiskClock clock = DiskClock::of(kNow);
+  const PersistentClock clock = PersistentClock::startingNow(kNow);
   RecordBuffer records(clock, 1);
   records.append(headerOfVersion(kJournalVersion, clock));
   records.append(AcceptedRecord{testMessage("run")});
@@ -138,7 +138,7 @@
 }
 
 TEST(Recovery, ANewerVersionAndAnotherProgramsFileAreReportedAndQuarantined) {
-  const DiskClock clock = DiskClock::of(kNow);
+  const PersistentClock clock = PersistentClock::startingNow(kNow);
   RecordBuffer records(clock, 1);
   records.append(headerOfVersion(kJournalVersion + 1, clock));
   records.append(AcceptedRecord{testMessage("run")});
@@ -226,7 +226,7 @@
 
 TEST(RecoveryClocks, AStepOfTheWallClockChangesNothing) {
   for (const Micros step : {-3600 * kSecondMicros, 3600 * kSecondMicros}) {
-    Clocks later = kNow;
+    ClockReadings later = kNow;
     later.monotonic += 10 * kSecondMicros;
     later.unix += step;
     const ReopenedJournal reopened = reopen(journalWithEveryRecordType(), later);
@@ -235,13 +235,13 @@
   }
 }
 
-Micros deadlineOfNew(const Clocks& now) {
+Micros deadlineOfNew(const ClockReadings& now) {
   return reopen(journalWithEveryRecordType(), now).entries.at("new").message.deadline.at();
 }
 
 // After a reboot only Unix time is left to go by; no message has more than its whole time to live.
 TEST(RecoveryClocks, AfterARebootNoMessageHasMoreThanItsTimeToLive) {
-  Clocks later{2 * kSecondMicros, kNow.unix + 10 * kSecondMicros, "boot-b"};
+  ClockReadings later{2 * kSecondMicros, kNow.unix + 10 * kSecondMicros, "boot-b"};
   EXPECT_EQ(20 * kSecondMicros, deadlineOfNew(later));
   later.unix = kNow.unix - 3600 * kSecondMicros;
   EXPECT_EQ(30 * kSecondMicros, deadlineOfNew(later));
@@ -249,7 +249,7 @@
 
 // Where no boot id is known, a clock that stands before what was written is another one.
 TEST(RecoveryClocks, AClockThatWentBackIsAnotherOne) {
-  const Clocks restarted{kSecondMicros, kNow.unix + 10 * kSecondMicros, kNow.boot};
+  const ClockReadings restarted{kSecondMicros, kNow.unix + 10 * kSecondMicros, kNow.boot};
   EXPECT_EQ(19 * kSecondMicros, deadlineOfNew(restarted));
 }
 
