--- a/src/protocol/delivery_response.h
+++ b/src/protocol/delivery_response.h
@@ -1,4 +1,4 @@
-// Reads an endpoint's HTTP answer to a call into what the decision module is told of it. No sockets.
+// Reads an endpoint's HTTP answer to a call into what the decision module is given. No sockets.
 #pragma once
 
 #include <optional>
