--- a/src/network/client_admission.cpp
+++ b/src/network/client_admission.cpp
@@ -54,7 +54,7 @@
   const std::size_t pool_left =
       budget_.max_pooled_bytes > pooled_bytes_ ? budget_.max_pooled_bytes - pooled_bytes_ : 0;
   const std::size_t unpooled_left = buffered < kUnpooledBytes ? kUnpooledBytes - buffered : 0;
-  const std::size_t request_left = kLongestRequest - std::min(buffered, kLongestRequest);
+  const std::size_t request_left = kMaxRespRequestBytes - std::min(buffered, kMaxRespRequestBytes);
   const std::size_t allowance = std::min(request_left, pool_left + unpooled_left);
   if (allowance == 0 && !connection.is_stalled) {
     stalled_readers_.push_back(id);
--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -75,11 +75,9 @@
 
   // Its turn has come: what was buffered is parsed once more.
   void processQueuedRequest() {
-    std::vector<std::string> words;
-    std::size_t used = 0;
-    std::string error;
-    if (parseRequest(input_, words, used, error) == Parsed::whole) {
-      processRequest(words, used);
+    const RespParseResult parsed = parseRespRequest(input_);
+    if (const auto* request = std::get_if<RespRequest>(&parsed)) {
+      processRequest(*request);
     }
   }
 
@@ -127,34 +125,28 @@
   }
 
   void parseInput() {
-    std::vector<std::string> words;
-    std::size_t used = 0;
-    std::string error;
-    switch (parseRequest(input_, words, used, error)) {
-      case Parsed::partial:
-        server_.admission_.onRequestPartial(id_, monotonicNow());
-        server_.scheduleDeadlines();
-        waitForInput();
-        break;
-      case Parsed::malformed:
-        std::string().swap(input_);
-        server_.admission_.onRequestMalformed(id_, monotonicNow());
-        is_discarding_ = true;
-        write("-ERR " + error);
-        break;
-      case Parsed::whole:
-        if (server_.admission_.onRequestComplete(id_, monotonicNow()) == RequestTurn::now) {
-          processRequest(words, used);
-        }
-        break;
+    const RespParseResult parsed = parseRespRequest(input_);
+    if (const auto* error = std::get_if<RespProtocolError>(&parsed)) {
+      std::string().swap(input_);
+      server_.admission_.onRequestMalformed(id_, monotonicNow());
+      is_discarding_ = true;
+      write("-ERR " + error->message);
+    } else if (const auto* request = std::get_if<RespRequest>(&parsed)) {
+      if (server_.admission_.onRequestComplete(id_, monotonicNow()) == RequestTurn::now) {
+        processRequest(*request);
+      }
+    } else {
+      server_.admission_.onRequestPartial(id_, monotonicNow());
+      server_.scheduleDeadlines();
+      waitForInput();
     }
   }
 
-  void processRequest(const std::vector<std::string>& words, std::size_t used) {
+  void processRequest(const RespRequest& resp_request) {
     // The rest of the buffer arrived with the last bytes.
     const Micros sent_at = std::exchange(request_sent_at_, last_bytes_sent_at_);
-    consumeInput(used);
-    ClientRequest request = parseClientRequest(words);
+    consumeInput(resp_request.consumed_bytes);
+    ClientRequest request = parseClientRequest(resp_request.arguments);
     if (const auto* error = std::get_if<RequestError>(&request)) {
       reply(errorReply(*error), false);
     } else if (auto* message = std::get_if<AcceptedMessage>(&request)) {
--- a/src/network/descriptor_budget.cpp
+++ b/src/network/descriptor_budget.cpp
@@ -45,9 +45,9 @@
 std::size_t bufferPoolBytes(const ProcessLimits& limits) {
   const auto bytes =
       static_cast<std::size_t>(std::max<std::int64_t>(0, limits.memory_bytes / kPooledMemoryDivisor));
-  if (bytes < kLongestRequest) {
+  if (bytes < kMaxRespRequestBytes) {
     throw tooSmall("limits.memory_mb", limits.memory_bytes / kBytesPerMegabyte,
-                   megabytesRoundedUp(kLongestRequest * kPooledMemoryDivisor));
+                   megabytesRoundedUp(kMaxRespRequestBytes * kPooledMemoryDivisor));
   }
   return bytes;
 }
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -1,80 +1,111 @@
-// RESP2 requests; see resp.h.
+// The RESP2 request parser; see resp.h.
 #include "protocol/resp.h"
 
+#include <utility>
+
 namespace delivery {
 namespace {
 
-constexpr std::size_t kLongestCount = 8;  // digits
+constexpr std::size_t kMaxLengthDigits = 8;
+constexpr std::string_view kLineEnd = "\r\n";
 
-// "<sign><digits>\r\n" at `at`; moves past it.
-Parsed readCount(std::string_view in, std::size_t& at, char sign, std::size_t most, std::size_t& count,
-                 std::string& error) {
-  if (at >= in.size())
-    return Parsed::partial;
-  if (in[at] != sign) {
-    error = std::string("Protocol error: expected '") + sign + "'";
-    return Parsed::malformed;
-  }
-  std::size_t i = at + 1, value = 0, digits = 0;
-  for (; i < in.size() && in[i] >= '0' && in[i] <= '9'; ++i) {
-    if (++digits > kLongestCount)
-      break;
-    value = 10 * value + static_cast<std::size_t>(in[i] - '0');
-  }
-  if (i < in.size() && (in[i] != '\r' || digits == 0)) {
-    error = "Protocol error: invalid length";
-    return Parsed::malformed;
-  }
-  if (value > most) {
-    error = "Protocol error: too long";
-    return Parsed::malformed;
-  }
-  if (i + 1 >= in.size())
-    return Parsed::partial;
-  if (in[i + 1] != '\n') {
-    error = "Protocol error: invalid length";
-    return Parsed::malformed;
-  }
-  at = i + 2;
-  count = value;
-  return Parsed::whole;
+// A part of a request, or why it could not be parsed.
+using LengthResult = std::variant<std::size_t, RespIncomplete, RespProtocolError>;
+using ArgumentResult = std::variant<std::string, RespIncomplete, RespProtocolError>;
+
+RespProtocolError protocolError(const std::string& what) {
+  return {"Protocol error: " + what};
 }
 
-}  // namespace
+bool isDigit(char c) {
+  return c >= '0' && c <= '9';
+}
 
-Parsed parseRequest(std::string_view in, std::vector<std::string>& words, std::size_t& used,
-                    std::string& error) {
-  words.clear();
-  std::size_t at = 0, count = 0;
-  Parsed p = readCount(in, at, '*', kMostWords, count, error);
-  if (p != Parsed::whole)
-    return p;
-  if (count == 0) {
-    error = "Protocol error: empty request";
-    return Parsed::malformed;
-  }
-  std::size_t total = 0;
-  for (std::size_t i = 0; i < count; ++i) {
-    std::size_t size = 0;
-    p = readCount(in, at, '$', kLongestWord, size, error);
-    if (p != Parsed::whole)
-      return p;
-    total += size;
-    if (total > 2 * kLongestWord) {
-      error = "Protocol error: too long";
-      return Parsed::malformed;
+// Passes on why a part could not be parsed as the result of the whole.
+template <class Result, class Part>
+Result stoppedBy(const Part& part) {
+  if (const auto* error = std::get_if<RespProtocolError>(&part))
+    return *error;
+  return RespIncomplete{};
+}
+
+class RequestParser {
+ public:
+  explicit RequestParser(std::string_view input) : input_(input) {}
+
+  RespParseResult parse() {
+    const LengthResult parsed_count = parseLength('*', kMaxRespArguments);
+    const auto* count = std::get_if<std::size_t>(&parsed_count);
+    if (count == nullptr)
+      return stoppedBy<RespParseResult>(parsed_count);
+    if (*count == 0)
+      return protocolError("empty request");
+    RespRequest request;
+    while (request.arguments.size() < *count) {
+      ArgumentResult parsed_argument = parseArgument();
+      auto* argument = std::get_if<std::string>(&parsed_argument);
+      if (argument == nullptr)
+        return stoppedBy<RespParseResult>(parsed_argument);
+      request.arguments.push_back(std::move(*argument));
     }
-    if (in.size() - at < size + 2)
-      return Parsed::partial;
-    if (in[at + size] != '\r' || in[at + size + 1] != '\n') {
-      error = "Protocol error: a string without its end";
-      return Parsed::malformed;
+    request.consumed_bytes = position_;
+    return request;
+  }
+
+ private:
+  // "$<length>\r\n<bytes>\r\n"
+  ArgumentResult parseArgument() {
+    const LengthResult parsed_length = parseLength('$', kMaxRespArgumentBytes);
+    const auto* length = std::get_if<std::size_t>(&parsed_length);
+    if (length == nullptr)
+      return stoppedBy<ArgumentResult>(parsed_length);
+    arguments_size_ += *length;
+    if (arguments_size_ > 2 * kMaxRespArgumentBytes)
+      return protocolError("too long");
+    if (input_.size() - position_ < *length + kLineEnd.size())
+      return RespIncomplete{};
+    if (input_.substr(position_ + *length, kLineEnd.size()) != kLineEnd)
+      return protocolError("a string without its end");
+    std::string argument(input_.substr(position_, *length));
+    position_ += *length + kLineEnd.size();
+    return argument;
+  }
+
+  // "<prefix><digits>\r\n". A length that can only turn out invalid is rejected before its line is complete.
+  LengthResult parseLength(char prefix, std::size_t max) {
+    if (position_ >= input_.size())
+      return RespIncomplete{};
+    if (input_[position_] != prefix)
+      return protocolError(std::string("expected '") + prefix + "'");
+    std::size_t end = position_ + 1;
+    std::size_t value = 0;
+    std::size_t digits = 0;
+    while (end < input_.size() && isDigit(input_[end]) && digits < kMaxLengthDigits) {
+      value = 10 * value + static_cast<std::size_t>(input_[end] - '0');
+      ++digits;
+      ++end;
     }
-    words.emplace_back(in.substr(at, size));
-    at += size + 2;
+    if (end < input_.size() && (input_[end] != '\r' || digits == 0))
+      return protocolError("invalid length");
+    if (value > max)
+      return protocolError("too long");
+    if (end + 1 >= input_.size())
+      return RespIncomplete{};
+    if (input_[end + 1] != '\n')
+      return protocolError("invalid length");
+    position_ = end + kLineEnd.size();
+    return value;
   }
-  used = at;
-  return Parsed::whole;
+
+  std::string_view input_;
+  std::size_t position_ = 0;        // of the next byte to parse
+  std::size_t arguments_size_ = 0;  // bytes of the arguments so far
+};
+
+}  // namespace
+
+RespParseResult parseRespRequest(std::string_view input) {
+  return RequestParser(input).parse();
 }
 
 }  // namespace delivery
--- a/src/protocol/resp.h
+++ b/src/protocol/resp.h
@@ -1,20 +1,38 @@
-// A small strict parser of RESP2 requests (arrays of bulk strings), with bounds on all sizes.
+// A strict parser of RESP2 requests (arrays of bulk strings) with bounds on all sizes. It needs no socket:
+// the caller appends what it has read to a buffer and parses the buffer's front again until a request is
+// complete.
 #pragma once
 
+#include <cstddef>
 #include <string>
 #include <string_view>
+#include <variant>
 #include <vector>
 
 namespace delivery {
 
-constexpr std::size_t kMostWords = 16, kLongestWord = 65536;
-// The longest request that can be well formed, so that a reader knows when to stop reading.
-constexpr std::size_t kLongestRequest = 64 + kMostWords * 16 + 2 * kLongestWord;
+constexpr std::size_t kMaxRespArguments = 16;         // of one request, the command included
+constexpr std::size_t kMaxRespArgumentBytes = 65536;  // of one argument; all together may have twice as many
+// No well-formed request is longer, so a reader can stop reading there.
+constexpr std::size_t kMaxRespRequestBytes = 64 + kMaxRespArguments * 16 + 2 * kMaxRespArgumentBytes;
 
-enum class Parsed { whole, partial, malformed };
+// A complete request.
+struct RespRequest {
+  std::vector<std::string> arguments;  // at least one: the command comes first
+  std::size_t consumed_bytes = 0;      // that the request took up at the front of the input
+};
 
-// Reads one request off the front of `in`; `used` tells how much of it that took. `error` says what is wrong.
-Parsed parseRequest(std::string_view in, std::vector<std::string>& words, std::size_t& used,
-                    std::string& error);
+// The input is the beginning of a request that may still be well formed.
+struct RespIncomplete {};
+
+// The input violates the protocol, whatever follows it.
+struct RespProtocolError {
+  std::string message;  // for the client, without the leading "-ERR "
+};
+
+using RespParseResult = std::variant<RespRequest, RespIncomplete, RespProtocolError>;
+
+// Parses one request at the front of `input`.
+RespParseResult parseRespRequest(std::string_view input);
 
 }  // namespace delivery
--- a/tests/network/client_admission_test.cpp
+++ b/tests/network/client_admission_test.cpp
@@ -135,7 +135,7 @@
   clients.onClosed(a);
   EXPECT_EQ(b, *clients.nextResumedReader());
   EXPECT_GT(clients.readAllowance(b), 0u);
-  EXPECT_LE(clients.readAllowance(b), kLongestRequest);
+  EXPECT_LE(clients.readAllowance(b), kMaxRespRequestBytes);
 }
 
 // A crowd of random peers: the table, open requests and buffers are under pressure, and budgets change.
@@ -152,7 +152,7 @@
     }
     if (randomBelow(50) == 0) {
       DescriptorBudget budget = smallBudget(5 + randomBelow(20), 1 + randomBelow(8));
-      budget.max_pooled_bytes = kLongestRequest + static_cast<std::size_t>(randomBelow(200'000));
+      budget.max_pooled_bytes = kMaxRespRequestBytes + static_cast<std::size_t>(randomBelow(200'000));
       clients_.setBudget(budget);
       is_shrinking_ = true;
     }
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -33,7 +33,7 @@
   static DescriptorBudget budgetFor(std::int64_t max_connections) {
     DescriptorBudget budget;
     budget.max_clients = budget.max_open_requests = max_connections;
-    budget.max_pooled_bytes = kLongestRequest;
+    budget.max_pooled_bytes = kMaxRespRequestBytes;
     return budget;
   }
   void runUntil(const std::function<bool()>& condition) {
--- a/tests/protocol/resp_test.cpp
+++ b/tests/protocol/resp_test.cpp
@@ -1,4 +1,4 @@
-// The parser of RESP2 requests: pieces of any size, bounds, and what is malformed.
+// The parser of RESP2 requests: input in pieces of any size, its bounds, and malformed input.
 #include "protocol/resp.h"
 
 #include <gtest/gtest.h>
@@ -6,45 +6,77 @@
 namespace delivery {
 namespace {
 
-Parsed parse(const std::string& in, std::vector<std::string>& words, std::size_t& used) {
-  std::string error;
-  const Parsed p = parseRequest(in, words, used, error);
-  EXPECT_EQ(p == Parsed::malformed, !error.empty());
-  return p;
+enum class Parsed { complete, incomplete, malformed };
+
+// What the parser made of `input`; the request itself goes into `request`, which an incomplete or malformed
+// input leaves empty. An error always has a text.
+Parsed parse(const std::string& input, RespRequest& request) {
+  const RespParseResult result = parseRespRequest(input);
+  request = {};
+  if (const auto* error = std::get_if<RespProtocolError>(&result)) {
+    EXPECT_FALSE(error->message.empty());
+    return Parsed::malformed;
+  }
+  if (std::holds_alternative<RespIncomplete>(result))
+    return Parsed::incomplete;
+  request = std::get<RespRequest>(result);
+  return Parsed::complete;
+}
+
+std::string errorOf(const std::string& input) {
+  const RespParseResult result = parseRespRequest(input);
+  const auto* error = std::get_if<RespProtocolError>(&result);
+  return error != nullptr ? error->message : "";
 }
 
-TEST(Resp, AWholeRequestIsReadAndEveryPrefixIsPartial) {
-  const std::string whole = std::string("*2\r\n$4\r\nPING\r\n$3\r\n\0\r\n", 21) + "\r\n";
-  std::vector<std::string> words;
-  std::size_t used = 0;
-  ASSERT_EQ(Parsed::whole, parse(whole + "*1", words, used));
-  EXPECT_EQ(whole.size(), used);
-  ASSERT_EQ(2u, words.size());
-  EXPECT_EQ("PING", words[0]);
-  EXPECT_EQ(std::string("\0\r\n", 3), words[1]);
-  for (std::size_t n = 0; n < whole.size(); ++n)
-    EXPECT_EQ(Parsed::partial, parse(whole.substr(0, n), words, used)) << n;
+TEST(Resp, CompleteRequestIsParsedAndEachPrefixIsIncomplete) {
+  const std::string input = std::string("*2\r\n$4\r\nPING\r\n$3\r\n\0\r\n", 21) + "\r\n";
+  RespRequest request;
+  ASSERT_EQ(Parsed::complete, parse(input + "*1", request));
+  EXPECT_EQ(input.size(), request.consumed_bytes);
+  ASSERT_EQ(2u, request.arguments.size());
+  EXPECT_EQ("PING", request.arguments[0]);
+  EXPECT_EQ(std::string("\0\r\n", 3), request.arguments[1]);
+  for (std::size_t size = 0; size < input.size(); ++size)
+    EXPECT_EQ(Parsed::incomplete, parse(input.substr(0, size), request)) << size;
 }
 
-TEST(Resp, WhatIsMalformedOrTooLongIsRefusedEarly) {
-  const std::string long_word = std::to_string(kLongestWord + 1);
-  std::vector<std::string> words;
-  std::size_t used = 0;
-  for (const std::string& in :
+TEST(Resp, MalformedOrTooLongInputIsRejectedEarly) {
+  const std::string too_long = std::to_string(kMaxRespArgumentBytes + 1);
+  RespRequest request;
+  for (const std::string& input :
        {std::string("GET / HTTP/1.1\r\n"), std::string("*0\r\n"), std::string("*-1\r\n"),
         std::string("*x\r\n"), std::string("*1\r\n+PING\r\n"), std::string("*1\r\n$-1\r\n"),
         std::string("*99\r\n"), std::string("*999999999999999999999"), std::string("*1\r\n$4\r\nPINGxx"),
-        "*1\r\n$" + long_word + "\r\n", std::string("*1\n"), std::string("*1\rx")})
-    EXPECT_EQ(Parsed::malformed, parse(in, words, used)) << in;
+        "*1\r\n$" + too_long + "\r\n", std::string("*1\n"), std::string("*1\rx")})
+    EXPECT_EQ(Parsed::malformed, parse(input, request)) << input;
+}
+
+TEST(Resp, ErrorTextsNameTheFault) {
+  EXPECT_EQ("Protocol error: expected '*'", errorOf("GET / HTTP/1.1\r\n"));
+  EXPECT_EQ("Protocol error: expected '$'", errorOf("*1\r\n+PING\r\n"));
+  EXPECT_EQ("Protocol error: empty request", errorOf("*0\r\n"));
+  EXPECT_EQ("Protocol error: invalid length", errorOf("*-1\r\n"));
+  EXPECT_EQ("Protocol error: invalid length", errorOf("*1\rx"));
+  EXPECT_EQ("Protocol error: too long", errorOf("*99"));
+  EXPECT_EQ("Protocol error: invalid length", errorOf("*999999999"));
+  EXPECT_EQ("Protocol error: a string without its end", errorOf("*1\r\n$4\r\nPINGxx"));
+}
+
+TEST(Resp, ArgumentsOfMaximalTotalSizeAreParsedAndOneMoreByteIsNot) {
+  const std::string longest =
+      "$" + std::to_string(kMaxRespArgumentBytes) + "\r\n" + std::string(kMaxRespArgumentBytes, 'x') + "\r\n";
+  RespRequest request;
+  EXPECT_EQ(Parsed::complete, parse("*2\r\n" + longest + longest, request));
+  EXPECT_EQ("Protocol error: too long", errorOf("*3\r\n" + longest + longest + "$1\r\n"));
 }
 
-TEST(Resp, ABodyOfTheLongestSizeIsTaken) {
-  const std::string in =
-      "*1\r\n$" + std::to_string(kLongestWord) + "\r\n" + std::string(kLongestWord, 'x') + "\r\n";
-  std::vector<std::string> words;
-  std::size_t used = 0;
-  EXPECT_EQ(Parsed::whole, parse(in, words, used));
-  EXPECT_LE(in.size(), kLongestRequest);
+TEST(Resp, ArgumentOfMaximalSizeIsParsed) {
+  const std::string input = "*1\r\n$" + std::to_string(kMaxRespArgumentBytes) + "\r\n" +
+                            std::string(kMaxRespArgumentBytes, 'x') + "\r\n";
+  RespRequest request;
+  EXPECT_EQ(Parsed::complete, parse(input, request));
+  EXPECT_LE(input.size(), kMaxRespRequestBytes);
 }
 
 }  // namespace
