--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -24,11 +24,6 @@
 constexpr int kMaxEvictionAttempts = 16;  // in a row, for a candidate without unread input
 constexpr Micros kUnknownPast = INT64_MIN / 4;
 
-// Of a reply to a submitted message: whether that was in proper form, accepted or not.
-bool isAcceptedOrBusy(const std::string& reply) {
-  return reply[0] == '+' || reply.rfind("-BUSY", 0) == 0;
-}
-
 }  // namespace
 
 // One connection of a client. One request at a time: the next is parsed once this one is answered.
@@ -167,10 +162,10 @@
   void submit(AcceptedMessage message, Micros sent_at) {
     message.deadline = Deadline::after(sent_at, message.time_to_live);
     ++server_.unanswered_requests_;
-    server_.on_submit_(std::move(message), [self = shared_from_this()](const std::string& line) {
+    server_.on_submit_(std::move(message), [self = shared_from_this()](const SubmitReply& submit_reply) {
       --self->server_.unanswered_requests_;
       if (self->is_open_) {
-        self->reply(line, isAcceptedOrBusy(line));
+        self->reply(toRespLine(submit_reply), isUseful(submit_reply));
       }
     });
   }
--- a/src/network/client_server.h
+++ b/src/network/client_server.h
@@ -13,13 +13,14 @@
 
 #include "network/client_admission.h"
 #include "network/queue_age.h"
+#include "protocol/submit_reply.h"
 #include "storage/accepted_message.h"
 
 namespace delivery {
 
 class ClientServer {
  public:
-  using Reply = std::function<void(const std::string&)>;  // one RESP line without its end, called once
+  using Reply = std::function<void(const SubmitReply&)>;  // called once
   // A client submits a message. Answers by the reply, now or later.
   using OnSubmit = std::function<void(AcceptedMessage, Reply)>;
 
--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -1,9 +1,10 @@
-// The host; see decision_driver.h.
+// The decision driver; see decision_driver.h.
 #include "process/decision_driver.h"
 
 #include <algorithm>
-#include <cmath>
-#include <optional>
+#include <boost/asio/post.hpp>
+#include <chrono>
+#include <utility>
 
 #include "common/log.h"
 
@@ -13,8 +14,26 @@
 
 namespace {
 
-std::string busy(Micros pause) {
-  return pause > 0 ? "-BUSY " + std::to_string((pause + 999) / 1000) : std::string("-BUSY");
+Arrival toArrival(const AcceptedMessage& message) {
+  Arrival arrival;
+  arrival.id = message.id;
+  arrival.message_class = message.message_class;
+  arrival.tenant = message.tenant;
+  arrival.order_key = message.order_key;
+  arrival.destination = message.destination;
+  arrival.deadline = message.deadline;
+  arrival.is_retry = message.is_retry;
+  return arrival;
+}
+
+// After these results the endpoint is known not to have processed the message.
+bool neverRan(AttemptResult result) {
+  return result == AttemptResult::throttled || result == AttemptResult::connect_failed ||
+         result == AttemptResult::not_sent;
+}
+
+std::int64_t listIndex(const json& list) {
+  return readNumber(list, "index", -1);
 }
 
 void logRecovery(const Journal::Recovered& recovered, std::size_t messages, std::size_t pending_notices,
@@ -40,307 +59,398 @@
 }  // namespace
 
 DecisionDriver::DecisionDriver(asio::io_context& io, Settings settings, std::uint64_t seed, Journal& journal,
-                               EndpointPool& endpoints, CompletionNotifier& notices,
+                               EndpointPool& endpoints, CompletionNotifier& notifier,
                                CancelElsewhere cancel_elsewhere)
     : io_(io),
       settings_(settings),
-      sender_(std::move(settings), seed),
+      scheduler_(std::move(settings), seed),
       journal_(journal),
       endpoints_(endpoints),
-      notices_(notices),
+      notifier_(notifier),
       cancel_elsewhere_(std::move(cancel_elsewhere)),
       turn_timer_(io),
-      wake_timer_(io) {}
-
-void DecisionDriver::recover(const json& known, const std::set<CallId>& out, Micros began, bool waits_hold) {
-  const Journal::Recovered& r = journal_.recovered();
-  // The newer of the two lists: a drain that was heard before the restart still counts.
-  json list = known;
-  const json own = json::parse(r.endpoint_list, nullptr, false);
-  if (own.is_object() && (!list.is_object() || readNumber(own, "index", -1) >= readNumber(list, "index", -1)))
-    list = own;
-  if (list.is_object() && !list.empty()) {
-    EndpointList::EndpointListUpdate news = list_.apply(list);
-    news.kind = EndpointUpdateKind::cached;
-    takeList(news);
+      wakeup_timer_(io) {}
+
+// ---- Recovery
+
+void DecisionDriver::recover(const json& configured_endpoints, const std::set<CallId>& calls_in_flight,
+                             Micros started_at, bool after_handover) {
+  const Journal::Recovered& recovered = journal_.recovered();
+  recoverEndpointList(configured_endpoints, recovered.endpoint_list);
+  recoverHealth(recovered.health_records, after_handover);
+  for (const JournalEntry& entry : recovered.entries) {
+    if (entry.notice_pending)
+      notifier_.enqueue(entry.message.id, entry.notice);
+    else
+      recoverMessage(entry, calls_in_flight, after_handover);
   }
-  for (HealthRecord a : r.health_records) {
-    if (!waits_hold)
-      a.retry_after_until = 0;
-    add(std::move(a));
+  logRecovery(recovered, pending_messages_.size(), notifier_.pending(), (monotonicNow() - started_at) / 1000);
+  journal_.releaseRecovered();
+}
+
+// The newer of the two lists counts, so that a drain that was announced before a restart is not forgotten.
+void DecisionDriver::recoverEndpointList(const json& configured_endpoints,
+                                         const std::string& journaled_list) {
+  json list = configured_endpoints;
+  const json journaled = json::parse(journaled_list, nullptr, false);
+  if (journaled.is_object() && (!list.is_object() || listIndex(journaled) >= listIndex(list)))
+    list = journaled;
+  if (!list.is_object() || list.empty())
+    return;
+  EndpointList::EndpointListUpdate update = endpoint_list_.apply(list);
+  update.kind = EndpointUpdateKind::cached;
+  applyEndpointUpdate(update);
+}
+
+void DecisionDriver::recoverHealth(const std::vector<HealthRecord>& records, bool after_handover) {
+  for (HealthRecord record : records) {
+    if (!after_handover)
+      record.retry_after_until = 0;
+    addEvent(std::move(record));
   }
-  for (const JournalEntry& e : r.entries) {
-    if (e.notice_pending) {
-      notices_.enqueue(e.message.id, e.notice);
-      continue;
-    }
-    Held& h = held_[e.message.id];
-    h.message = e.message;
-    RecoveredMessage m;
-    m.after_restart = !waits_hold;
-    m.message.id = e.message.id;
-    m.message.message_class = e.message.message_class;
-    m.message.tenant = e.message.tenant;
-    m.message.order_key = e.message.order_key;
-    m.message.destination = e.message.destination;
-    m.message.deadline = e.message.deadline;
-    m.message.is_retry = true;
-    for (const JournaledAttempt& a : e.attempts) {
-      const CallId call{m.message.id, static_cast<int>(m.attempts.size())};
-      const bool still_out = !a.never_ran && out.count(call) > 0;
-      if (still_out &&
-          !list_.contains(a.endpoint)) {  // it left the list: its outcome and its wait still count
-        EndpointInfo gone;
-        gone.id = a.endpoint;
-        gone.destination = e.message.destination;
-        gone.state = EndpointState::removed;
-        add(EndpointsChanged{EndpointUpdateKind::delta, {gone}});
-      }
-      h.attempts.push_back(a.endpoint);
-      m.attempts.push_back({a.endpoint, a.sent_at, !a.never_ran, still_out});
-    }
-    add(std::move(m));
+}
+
+void DecisionDriver::recoverMessage(const JournalEntry& entry, const std::set<CallId>& calls_in_flight,
+                                    bool after_handover) {
+  PendingMessage& pending = pending_messages_[entry.message.id];
+  pending.message = entry.message;
+  RecoveredMessage recovered;
+  recovered.after_restart = !after_handover;
+  recovered.message = toArrival(entry.message);
+  recovered.message.is_retry = true;
+  for (const JournaledAttempt& attempt : entry.attempts) {
+    const CallId call{entry.message.id, static_cast<int>(recovered.attempts.size())};
+    const bool in_flight = !attempt.never_ran && calls_in_flight.count(call) > 0;
+    if (in_flight && !endpoint_list_.contains(attempt.endpoint))
+      addUnlistedEndpoint(attempt.endpoint, entry.message.destination);
+    pending.attempt_endpoints.push_back(attempt.endpoint);
+    recovered.attempts.push_back({attempt.endpoint, attempt.sent_at, !attempt.never_ran, in_flight});
   }
-  logRecovery(r, held_.size(), notices_.pending(), (monotonicNow() - began) / 1000);
-  journal_.releaseRecovered();
+  addEvent(std::move(recovered));
 }
 
+// The endpoint has left the list, but the outcome of a call to it still counts, and so does its Retry-After.
+void DecisionDriver::addUnlistedEndpoint(const std::string& endpoint, std::int64_t destination) {
+  EndpointInfo removed;
+  removed.id = endpoint;
+  removed.destination = destination;
+  removed.state = EndpointState::removed;
+  addEvent(EndpointsChanged{EndpointUpdateKind::delta, {removed}});
+}
+
+// ---- Endpoint list
+
 std::int64_t DecisionDriver::onEndpointList(const json& answer) {
-  const EndpointList::EndpointListUpdate news = list_.apply(answer);
-  if (!news.endpoints.empty() || news.kind != EndpointUpdateKind::delta) {
-    journal_.recordEndpointList(list_.toJson().dump());
-    takeList(news);  // sends are made in turns alone, so none goes before the module has heard this
+  const EndpointList::EndpointListUpdate update = endpoint_list_.apply(answer);
+  if (!update.endpoints.empty() || update.kind != EndpointUpdateKind::delta) {
+    journal_.recordEndpointList(endpoint_list_.toJson().dump());
+    // Attempts are started in turns only, so none starts before the module has seen the update.
+    applyEndpointUpdate(update);
   }
-  return list_.index();
-}
-
-void DecisionDriver::takeList(const EndpointList::EndpointListUpdate& news) {
-  EndpointsChanged u;
-  u.kind = news.kind;
-  if (news.kind != EndpointUpdateKind::delta)  // what a whole list leaves out is gone
-    for (const std::string& endpoint : endpoints_.knownEndpoints())
-      if (!list_.contains(endpoint)) {
-        endpoints_.closeIdle(endpoint);
-        endpoints_.onEndpointDraining(endpoint);
-      }
-  for (const ListedEndpoint& l : news.endpoints) {
-    u.endpoints.push_back(l.endpoint);
-    destinations_.insert(l.endpoint.destination);
-    const bool apart = std::any_of(
-        settings_.destination_kinds.begin(), settings_.destination_kinds.end(),
-        [&](const DestinationKind& k) { return k.name == l.endpoint.kind && k.independent_routes; });
-    if (l.endpoint.state != EndpointState::removed)
-      endpoints_.setAddress(l.endpoint.id, l.address, apart);
-    if (l.endpoint.state == EndpointState::removed)
-      endpoints_.closeIdle(l.endpoint.id);
-    if (l.endpoint.state != EndpointState::ready)
-      endpoints_.onEndpointDraining(l.endpoint.id);
+  return endpoint_list_.index();
+}
+
+void DecisionDriver::applyEndpointUpdate(const EndpointList::EndpointListUpdate& update) {
+  if (update.kind != EndpointUpdateKind::delta)
+    withdrawUnlistedEndpoints();
+  EndpointsChanged changed;
+  changed.kind = update.kind;
+  for (const ListedEndpoint& listed : update.endpoints) {
+    changed.endpoints.push_back(listed.endpoint);
+    updateEndpoint(listed);
   }
-  add(std::move(u));
-}
-
-void DecisionDriver::submit(AcceptedMessage m, ClientServer::Reply reply) {
-  if (std::none_of(settings_.classes.begin(), settings_.classes.end(),
-                   [&](const MessageClass& c) { return c.name == m.message_class; }))
-    return reply("-ERR unknown class");
-  if (destinations_.empty())
-    return reply(busy(settings_.max_retry_after));
-  if (!destinations_.count(m.destination))
-    return reply("-ERR unknown destination");
-  auto known = held_.find(m.id);
-  if (known != held_.end())
-    return reply(known->second.reply ? "-ERR handed in twice" : "+OK");
-  if (!journal_.reserve(m))
-    return reply(busy(settings_.max_retry_after));
-  Arrival a;
-  a.id = m.id;
-  a.message_class = m.message_class;
-  a.tenant = m.tenant;
-  a.order_key = m.order_key;
-  a.destination = m.destination;
-  a.deadline = m.deadline;
-  a.is_retry = m.is_retry;
-  Held& h = held_[m.id];
-  h.message = std::move(m);
-  h.reply = std::move(reply);
-  fresh_.insert(a.id);
-  add(std::move(a));
+  addEvent(std::move(changed));
 }
 
-void DecisionDriver::stepDown() {
-  if (!events_.empty())
-    turn();
-  journal_.close();
-  retired_ = true;
-  wakes_.clear();
-  turn_timer_.cancel();
-  wake_timer_.cancel();
-}
-
-void DecisionDriver::onOutcome(AttemptOutcome o) {
-  auto it = held_.find(o.id);
-  // One that another process heard: this one's calls heed its wait, too.
-  if (o.retry_after > 0 && it != held_.end() && o.attempt < static_cast<int>(it->second.attempts.size()))
-    endpoints_.onRetryAfter(it->second.attempts[static_cast<std::size_t>(o.attempt)],
-                            it->second.message.destination);
-  if (o.still_in_flight)
-    return add(std::move(o));
-  if (it != held_.end()) {
-    if (o.finished) {
-      journal_.recordCompleted(o.id);
-      held_.erase(it);
-    } else if (o.result == AttemptResult::throttled || o.result == AttemptResult::connect_failed ||
-               o.result == AttemptResult::not_sent) {
-      journal_.recordNeverRan(o.id, static_cast<std::size_t>(o.attempt));
-    }
+// What a full list does not name has been removed.
+void DecisionDriver::withdrawUnlistedEndpoints() {
+  for (const std::string& endpoint : endpoints_.knownEndpoints()) {
+    if (endpoint_list_.contains(endpoint))
+      continue;
+    endpoints_.closeIdle(endpoint);
+    endpoints_.onEndpointDraining(endpoint);
   }
-  add(std::move(o));
 }
 
-// Written with the next turn: until then a restart would tell it once more, which does no harm.
-void DecisionDriver::onNoticeAcknowledged(const std::string& id) {
-  journal_.recordCompleted(id);
+void DecisionDriver::updateEndpoint(const ListedEndpoint& listed) {
+  const EndpointInfo& endpoint = listed.endpoint;
+  known_destinations_.insert(endpoint.destination);
+  if (endpoint.state == EndpointState::removed)
+    endpoints_.closeIdle(endpoint.id);
+  else
+    endpoints_.setAddress(endpoint.id, listed.address, hasIndependentRoutes(endpoint.kind));
+  if (endpoint.state != EndpointState::ready)
+    endpoints_.onEndpointDraining(endpoint.id);
 }
 
-void DecisionDriver::scheduleShutdown(Micros at) {
-  add(ShutdownScheduled{at});
+bool DecisionDriver::hasIndependentRoutes(const std::string& destination_kind) const {
+  return std::any_of(
+      settings_.destination_kinds.begin(), settings_.destination_kinds.end(),
+      [&](const DestinationKind& kind) { return kind.name == destination_kind && kind.independent_routes; });
 }
 
-void DecisionDriver::add(Event e) {
-  if (retired_)
+// ---- Events
+
+void DecisionDriver::submit(AcceptedMessage message, ClientServer::Reply reply) {
+  if (const auto immediate_reply = replyWithoutDecision(message)) {
+    reply(*immediate_reply);
     return;
-  events_.push_back(std::move(e));
-  if (turn_due_)
+  }
+  const bool fits_into_journal = journal_.reserve(message);
+  if (!fits_into_journal) {
+    reply({SubmitStatus::busy, settings_.max_retry_after});
+    return;
+  }
+  Arrival arrival = toArrival(message);
+  PendingMessage& pending = pending_messages_[message.id];
+  pending.message = std::move(message);
+  pending.reply = std::move(reply);
+  new_message_ids_.insert(arrival.id);
+  addEvent(std::move(arrival));
+}
+
+std::optional<SubmitReply> DecisionDriver::replyWithoutDecision(const AcceptedMessage& message) const {
+  const bool known_class =
+      std::any_of(settings_.classes.begin(), settings_.classes.end(),
+                  [&](const MessageClass& candidate) { return candidate.name == message.message_class; });
+  if (!known_class)
+    return SubmitReply{SubmitStatus::unknown_class};
+  if (!hasEndpointList())
+    return SubmitReply{SubmitStatus::busy, settings_.max_retry_after};
+  if (known_destinations_.count(message.destination) == 0)
+    return SubmitReply{SubmitStatus::unknown_destination};
+  const auto submitted_before = pending_messages_.find(message.id);
+  if (submitted_before == pending_messages_.end())
+    return std::nullopt;
+  const bool unanswered = static_cast<bool>(submitted_before->second.reply);
+  return SubmitReply{unanswered ? SubmitStatus::duplicate : SubmitStatus::accepted};
+}
+
+void DecisionDriver::onOutcome(AttemptOutcome outcome) {
+  const auto it = pending_messages_.find(outcome.id);
+  if (it != pending_messages_.end()) {
+    const PendingMessage& pending = it->second;
+    // Another process may have received the Retry-After: calls of this process that are not written yet have
+    // to respect it, too.
+    if (outcome.retry_after > 0 && outcome.attempt < static_cast<int>(pending.attempt_endpoints.size()))
+      endpoints_.onRetryAfter(pending.attempt_endpoints[static_cast<std::size_t>(outcome.attempt)],
+                              pending.message.destination);
+    if (!outcome.still_in_flight)
+      recordOutcome(outcome);
+  }
+  addEvent(std::move(outcome));
+}
+
+void DecisionDriver::recordOutcome(const AttemptOutcome& outcome) {
+  if (outcome.finished) {
+    journal_.recordCompleted(outcome.id);
+    pending_messages_.erase(outcome.id);
+  } else if (neverRan(outcome.result)) {
+    journal_.recordNeverRan(outcome.id, static_cast<std::size_t>(outcome.attempt));
+  }
+}
+
+// The record is written with the next turn. A restart before that sends the notice a second time, which is
+// harmless.
+void DecisionDriver::onNoticeAcknowledged(const std::string& message_id) {
+  journal_.recordCompleted(message_id);
+}
+
+void DecisionDriver::scheduleShutdown(Micros at) {
+  addEvent(ShutdownScheduled{at});
+}
+
+// ---- Turns
+
+void DecisionDriver::addEvent(Event event) {
+  if (stepped_down_)
     return;
-  turn_due_ = true;
-  const Micros due = last_turn_ + settings_.tick - monotonicNow();
-  if (due <= 0) {
-    asio::post(io_, [this] {
-      if (turn_due_ && !retired_)
-        turn();
-    });
+  events_.push_back(std::move(event));
+  if (!turn_scheduled_)
+    scheduleTurn();
+}
+
+// At once, or when the shortest gap between two turns (Settings::tick) has passed.
+void DecisionDriver::scheduleTurn() {
+  turn_scheduled_ = true;
+  const auto run_if_still_due = [this] {
+    if (turn_scheduled_ && !stepped_down_)
+      runTurn();
+  };
+  const Micros delay = last_turn_ + settings_.tick - monotonicNow();
+  if (delay <= 0) {
+    asio::post(io_, run_if_still_due);
     return;
   }
-  turn_timer_.expires_after(std::chrono::microseconds(due));
-  turn_timer_.async_wait([this](const boost::system::error_code& e2) {
-    if (!e2 && turn_due_ && !retired_)
-      turn();
+  turn_timer_.expires_after(std::chrono::microseconds(delay));
+  turn_timer_.async_wait([run_if_still_due](const boost::system::error_code& cancelled) {
+    if (!cancelled)
+      run_if_still_due();
   });
 }
 
-void DecisionDriver::turn() {
-  turn_due_ = false;
+void DecisionDriver::runTurn() {
+  turn_scheduled_ = false;
   turn_timer_.cancel();
   last_turn_ = std::max(last_turn_ + 1, monotonicNow());
   std::vector<Event> events;
   events.swap(events_);
-  carryOut(sender_.decide(last_turn_, events));
+  carryOut(scheduler_.decide(last_turn_, events));
 }
 
-// First the refusals of what has just come, then the journal, then all that it promises.
+void DecisionDriver::stepDown() {
+  if (!events_.empty())
+    runTurn();
+  journal_.close();
+  stepped_down_ = true;
+  wakeup_times_.clear();
+  turn_timer_.cancel();
+  wakeup_timer_.cancel();
+}
+
+// ---- Actions
+
+// Rejected messages need no record, so they end first. All else is persisted before it is acknowledged or
+// sent.
 void DecisionDriver::carryOut(const std::vector<Action>& actions) {
-  for (const Action& a : actions) {
-    if (const auto* r = std::get_if<Reject>(&a))
-      end(r->id, true, r->retry_after);
-    if (const auto* f = std::get_if<Fail>(&a))
-      end(f->id, false, 0);
-    if (const auto* h = std::get_if<HealthRecord>(&a))
-      journal_.recordHealth(*h);
+  endMessagesAndRecordHealth(actions);
+  recordAcceptedMessages();
+  const AttemptNumbers attempts = recordAttempts(actions);
+  const bool persisted = journal_.flush();
+  if (!persisted)
+    logFlushFailure(journal_);
+  acknowledgeAcceptedMessages(persisted);
+  useNetworkAndTimers(actions, attempts, persisted);
+  armWakeupTimer();
+}
+
+void DecisionDriver::endMessagesAndRecordHealth(const std::vector<Action>& actions) {
+  for (const Action& action : actions) {
+    if (const auto* reject = std::get_if<Reject>(&action)) {
+      endMessage(reject->id, {SubmitStatus::busy, reject->retry_after},
+                 {true, roundUpToMs(reject->retry_after)});
+    } else if (const auto* fail = std::get_if<Fail>(&action)) {
+      endMessage(fail->id, {SubmitStatus::failed}, {false, 0});
+    } else if (const auto* health = std::get_if<HealthRecord>(&action)) {
+      journal_.recordHealth(*health);
+    }
   }
-  for (const std::string& id : fresh_)
-    journal_.recordAccepted(held_.at(id).message);
-  std::vector<std::pair<const SendAttempt*, int>> sends;
-  for (const Action& a : actions) {
-    const auto* s = std::get_if<SendAttempt>(&a);
-    if (!s)
+}
+
+// A client that still waits gets `reply`; if the message was accepted in an earlier turn, the platform gets
+// `notice`.
+void DecisionDriver::endMessage(const std::string& id, const SubmitReply& reply,
+                                const CompletionNotice& notice) {
+  const auto it = pending_messages_.find(id);
+  if (it == pending_messages_.end())
+    return;
+  const ClientServer::Reply send_reply = std::move(it->second.reply);
+  pending_messages_.erase(it);
+  if (send_reply) {
+    new_message_ids_.erase(id);
+    send_reply(reply);
+    return;
+  }
+  journal_.recordNoticePending(id, notice);
+  notifier_.enqueue(id, notice);
+}
+
+void DecisionDriver::recordAcceptedMessages() {
+  for (const std::string& id : new_message_ids_)
+    journal_.recordAccepted(pending_messages_.at(id).message);
+}
+
+DecisionDriver::AttemptNumbers DecisionDriver::recordAttempts(const std::vector<Action>& actions) {
+  AttemptNumbers attempts;
+  for (const Action& action : actions) {
+    const auto* send = std::get_if<SendAttempt>(&action);
+    if (send == nullptr)
       continue;
-    auto it = held_.find(s->id);
-    if (it == held_.end())
+    const auto it = pending_messages_.find(send->id);
+    if (it == pending_messages_.end())
       continue;
-    journal_.recordAttempt(s->id, {s->endpoint, monotonicNow(), false});
-    sends.emplace_back(s, static_cast<int>(it->second.attempts.size()));
-    it->second.attempts.push_back(s->endpoint);
+    journal_.recordAttempt(send->id, {send->endpoint, monotonicNow(), false});
+    std::vector<std::string>& endpoints = it->second.attempt_endpoints;
+    attempts.emplace(send, static_cast<int>(endpoints.size()));
+    endpoints.push_back(send->endpoint);
   }
-  const bool kept = journal_.flush();
-  if (!kept)
-    logFlushFailure(journal_);
-  for (const std::string& id : fresh_) {
-    Held& h = held_.at(id);
-    const ClientServer::Reply reply = std::move(h.reply);
-    h.reply = nullptr;
-    if (!kept) {  // nothing is taken on that a restart would forget
-      journal_.recordCompleted(id);
-      held_.erase(id);
-      add(Abandoned{id});
+  return attempts;
+}
+
+// A message that could not be persisted is rejected, as a restart would forget it.
+void DecisionDriver::acknowledgeAcceptedMessages(bool persisted) {
+  for (const std::string& id : new_message_ids_) {
+    const ClientServer::Reply send_reply = std::exchange(pending_messages_.at(id).reply, nullptr);
+    if (persisted) {
+      send_reply({SubmitStatus::accepted});
+      continue;
     }
-    reply(kept ? "+OK" : busy(settings_.max_retry_after));
+    journal_.recordCompleted(id);
+    pending_messages_.erase(id);
+    addEvent(Abandoned{id});
+    send_reply({SubmitStatus::busy, settings_.max_retry_after});
   }
-  fresh_.clear();
-  std::size_t next = 0;
-  for (const Action& a : actions) {
-    if (const auto* s = std::get_if<SendAttempt>(&a)) {
-      if (next >= sends.size() || sends[next].first != s)
-        continue;
-      const int attempt = sends[next++].second;
-      auto it = held_.find(s->id);
-      if (kept) {
-        const AcceptedMessage& m = it->second.message;
-        endpoints_.startCall(m, attempt, s->endpoint,
-                             std::min(Deadline::after(monotonicNow(), s->timeout), m.deadline));
-        continue;
-      }
-      AttemptOutcome o;
-      o.id = s->id;
-      o.attempt = attempt;
-      o.result = AttemptResult::not_sent;
-      onOutcome(std::move(o));
-    } else if (const auto* c = std::get_if<CancelAttempt>(&a)) {
-      const CallId call{c->id, c->attempt};
-      if (!endpoints_.cancel(call))
-        cancel_elsewhere_(call);
-    } else if (const auto* i = std::get_if<CloseIdleConnections>(&a)) {
-      endpoints_.closeIdle(i->endpoint);
-    } else if (const auto* w = std::get_if<SetTimer>(&a)) {
-      wakes_.insert(last_turn_ + w->delay);
+  new_message_ids_.clear();
+}
+
+void DecisionDriver::useNetworkAndTimers(const std::vector<Action>& actions, const AttemptNumbers& attempts,
+                                         bool persisted) {
+  for (const Action& action : actions) {
+    if (const auto* send = std::get_if<SendAttempt>(&action)) {
+      const auto attempt = attempts.find(send);
+      if (attempt != attempts.end())
+        startAttempt(*send, attempt->second, persisted);
+    } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
+      cancelAttempt(*cancel);
+    } else if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
+      endpoints_.closeIdle(close->endpoint);
+    } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
+      wakeup_times_.insert(last_turn_ + timer->delay);
     }
   }
-  wake();
 }
 
-// The module has ended a message: the client hears it at once, or by a notice if it was taken on before.
-void DecisionDriver::end(const std::string& id, bool handed_back, Micros pause) {
-  auto it = held_.find(id);
-  if (it == held_.end())
+void DecisionDriver::startAttempt(const SendAttempt& send, int attempt, bool persisted) {
+  if (persisted) {
+    const AcceptedMessage& message = pending_messages_.at(send.id).message;
+    const Deadline until = std::min(Deadline::after(monotonicNow(), send.timeout), message.deadline);
+    endpoints_.startCall(message, attempt, send.endpoint, until);
     return;
-  if (it->second.reply) {
-    const ClientServer::Reply reply = std::move(it->second.reply);
-    fresh_.erase(id);
-    held_.erase(it);
-    return reply(handed_back ? busy(pause) : "-ERR given up");
   }
-  const CompletionNotice n{handed_back, (pause + 999) / 1000};
-  journal_.recordNoticePending(id, n);
-  held_.erase(it);
-  notices_.enqueue(id, n);
+  AttemptOutcome outcome;
+  outcome.id = send.id;
+  outcome.attempt = attempt;
+  outcome.result = AttemptResult::not_sent;
+  onOutcome(std::move(outcome));
+}
+
+void DecisionDriver::cancelAttempt(const CancelAttempt& cancel) {
+  const CallId call{cancel.id, cancel.attempt};
+  const bool in_flight_here = endpoints_.cancel(call);
+  if (!in_flight_here)
+    cancel_elsewhere_(call);
 }
 
-void DecisionDriver::wake() {
-  if (wakes_.empty())
+// ---- Timers of the module
+
+void DecisionDriver::armWakeupTimer() {
+  if (wakeup_times_.empty())
     return;
-  wake_timer_.expires_after(std::chrono::microseconds(std::max<Micros>(0, *wakes_.begin() - monotonicNow())));
-  wake_timer_.async_wait([this](const boost::system::error_code& e) {
-    if (e)
-      return;
-    const Micros now = monotonicNow();
-    bool due = false;
-    while (!wakes_.empty() && *wakes_.begin() <= now) {
-      wakes_.erase(wakes_.begin());
-      due = true;
-    }
-    if (due)
-      add(TimerFired{});
-    wake();
+  const Micros delay = std::max<Micros>(0, *wakeup_times_.begin() - monotonicNow());
+  wakeup_timer_.expires_after(std::chrono::microseconds(delay));
+  wakeup_timer_.async_wait([this](const boost::system::error_code& cancelled) {
+    if (!cancelled)
+      onWakeupTimer();
   });
 }
 
+void DecisionDriver::onWakeupTimer() {
+  const auto first_later = wakeup_times_.upper_bound(monotonicNow());
+  const bool due = first_later != wakeup_times_.begin();
+  wakeup_times_.erase(wakeup_times_.begin(), first_later);
+  if (due)
+    addEvent(TimerFired{});
+  armWakeupTimer();
+}
+
 }  // namespace delivery
--- a/src/process/decision_driver.h
+++ b/src/process/decision_driver.h
@@ -1,71 +1,123 @@
-// The host of the decision module: hands it events in turns, carries out its actions, and has the
-// journal written before what it promises. It owns no policy.
+// Drives the decision module: passes it events in turns and carries out the actions that it returns. What an
+// action promises is in the journal before the action is done. No policy of its own; the rules are the
+// module's (src/decision).
 #pragma once
 
+#include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
 #include <map>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
 
+#include "common/call_id.h"
 #include "network/client_server.h"
 #include "network/discovery_client.h"
 #include "network/endpoint_pool.h"
+#include "protocol/submit_reply.h"
 #include "storage/journal.h"
 
 namespace delivery {
 
+// Owns the messages that were submitted and not completed, and the endpoint list. All calls come from the
+// event loop's thread. The journal, the pool and the notifier must outlive it.
 class DecisionDriver {
  public:
-  using CancelElsewhere = std::function<void(const CallId&)>;  // a call that another process has out
+  // Cancels a call that is in flight from another process of this sender.
+  using CancelElsewhere = std::function<void(const CallId&)>;
+
   DecisionDriver(boost::asio::io_context& io, Settings settings, std::uint64_t seed, Journal& journal,
-                 EndpointPool& endpoints, CompletionNotifier& notices, CancelElsewhere cancel_elsewhere);
-
-  // Takes over what the journal and the configuration know: before clients are served. `out`: calls that are
-  // still out, here or from another process; each gets its outcome(). `began`: when reading the journal did.
-  // `waits_hold`: waits told before do; a restart ends them. Outcomes that are handed in at once after this
-  // are heard in the same turn.
-  void recover(const json& known, const std::set<CallId>& out, Micros began, bool waits_hold);
-  void stepDown();  // decides what is pending and writes it down; from then on another host decides
-  std::int64_t onEndpointList(const json& answer);  // discovery's answer; gives the version to go on from
-  std::int64_t endpointListIndex() const { return list_.index(); }
+                 EndpointPool& endpoints, CompletionNotifier& notifier, CancelElsewhere cancel_elsewhere);
+
+  // Restores what the journal and the configuration know; to be called once, before clients are served.
+  // `calls_in_flight`: calls that this process or another one still has out; onOutcome() follows for each,
+  // and the module sees those that are reported right after recover() in the same turn as the recovered
+  // messages. `started_at`: when reading the journal began, for the log. `after_handover`: the process before
+  // handed over in order, so the pauses (Retry-After) that its endpoints asked for still hold; a restart ends
+  // them.
+  void recover(const json& configured_endpoints, const std::set<CallId>& calls_in_flight, Micros started_at,
+               bool after_handover);
+
+  // Decides on the events so far, writes the journal and closes it. Another driver decides from then on:
+  // events that come later are ignored.
+  void stepDown();
+
+  // Applies discovery's answer and returns the index from which to watch on. Throws InvalidInput when the
+  // answer can't be read; then nothing has changed.
+  std::int64_t onEndpointList(const json& answer);
+  std::int64_t endpointListIndex() const { return endpoint_list_.index(); }
+  bool hasEndpointList() const { return !known_destinations_.empty(); }
+
+  // Calls `reply` once: at once if the message needs no decision, else when the module has decided.
   void submit(AcceptedMessage message, ClientServer::Reply reply);
-  void onOutcome(AttemptOutcome o);
-  void onNoticeAcknowledged(const std::string& id);  // a notice was answered
-  void scheduleShutdown(Micros at);                  // the process ends then, on the monotonic clock
-  bool hasEndpointList() const { return !destinations_.empty(); }
-  bool idle() const { return events_.empty() && held_.empty(); }
+  void onOutcome(AttemptOutcome outcome);
+  void onNoticeAcknowledged(const std::string& message_id);
+  void scheduleShutdown(Micros at);  // on the monotonic clock
+
+  bool idle() const { return events_.empty() && pending_messages_.empty(); }
 
  private:
-  struct Held {  // taken on and not over
+  struct PendingMessage {  // submitted and not completed
     AcceptedMessage message;
-    std::vector<std::string> attempts;  // the endpoint of each
-    ClientServer::Reply reply;          // not answered yet
+    std::vector<std::string> attempt_endpoints;  // by attempt number
+    ClientServer::Reply reply;                   // empty once the client has its answer
   };
-  void add(Event e);
-  void turn();
+  // The number of each attempt that the journal has recorded. An action whose message is no longer pending
+  // has none.
+  using AttemptNumbers = std::map<const SendAttempt*, int>;
+
+  void recoverEndpointList(const json& configured_endpoints, const std::string& journaled_list);
+  void recoverHealth(const std::vector<HealthRecord>& records, bool after_handover);
+  void recoverMessage(const JournalEntry& entry, const std::set<CallId>& calls_in_flight,
+                      bool after_handover);
+  void addUnlistedEndpoint(const std::string& endpoint, std::int64_t destination);
+
+  void applyEndpointUpdate(const EndpointList::EndpointListUpdate& update);
+  void withdrawUnlistedEndpoints();
+  void updateEndpoint(const ListedEndpoint& listed);
+  bool hasIndependentRoutes(const std::string& destination_kind) const;
+
+  std::optional<SubmitReply> replyWithoutDecision(const AcceptedMessage& message) const;
+  void recordOutcome(const AttemptOutcome& outcome);
+
+  void addEvent(Event event);
+  void scheduleTurn();
+  void runTurn();
+
   void carryOut(const std::vector<Action>& actions);
-  void end(const std::string& id, bool handed_back, Micros pause);
-  void wake();
-  void takeList(const EndpointList::EndpointListUpdate& news);
+  void endMessagesAndRecordHealth(const std::vector<Action>& actions);
+  void endMessage(const std::string& id, const SubmitReply& reply, const CompletionNotice& notice);
+  void recordAcceptedMessages();
+  AttemptNumbers recordAttempts(const std::vector<Action>& actions);
+  void acknowledgeAcceptedMessages(bool persisted);
+  void useNetworkAndTimers(const std::vector<Action>& actions, const AttemptNumbers& attempts,
+                           bool persisted);
+  void startAttempt(const SendAttempt& send, int attempt, bool persisted);
+  void cancelAttempt(const CancelAttempt& cancel);
+
+  void armWakeupTimer();
+  void onWakeupTimer();
 
   boost::asio::io_context& io_;
-  Settings settings_;
-  DeliveryScheduler sender_;
+  const Settings settings_;
+  DeliveryScheduler scheduler_;
   Journal& journal_;
   EndpointPool& endpoints_;
-  CompletionNotifier& notices_;
+  CompletionNotifier& notifier_;
   CancelElsewhere cancel_elsewhere_;
-  EndpointList list_;
-  std::map<std::string, Held> held_;
-  std::set<std::string> fresh_;  // arrived since the last turn
-  std::set<std::int64_t> destinations_;
-  std::vector<Event> events_;
-  std::multiset<Micros> wakes_;
-  boost::asio::steady_timer turn_timer_, wake_timer_;
+  EndpointList endpoint_list_;
+  std::set<std::int64_t> known_destinations_;               // those ever listed
+  std::map<std::string, PendingMessage> pending_messages_;  // by message id
+  std::set<std::string> new_message_ids_;                   // submitted since the last turn
+  std::vector<Event> events_;                               // for the next turn
+  std::multiset<Micros> wakeup_times_;                      // that the module asked for, monotonic
+  boost::asio::steady_timer turn_timer_;
+  boost::asio::steady_timer wakeup_timer_;
   Micros last_turn_ = INT64_MIN / 4;
-  bool turn_due_ = false, retired_ = false;
+  bool turn_scheduled_ = false;
+  bool stepped_down_ = false;
 };
 
 }  // namespace delivery
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -27,7 +27,7 @@
         std::make_unique<ClientServer>(io, std::move(acceptor), admission,
                                        [this](AcceptedMessage message, const ClientServer::Reply& reply) {
                                          submitted = std::move(message);
-                                         reply("+OK");
+                                         reply({SubmitStatus::accepted});
                                        });
   }
   static DescriptorBudget budgetFor(std::int64_t max_connections) {
