--- /dev/null
+++ b/src/network/endpoint_watch.cpp
@@ -0,0 +1,89 @@
+// The watch of the endpoint list; see endpoint_watch.h.
+#include "network/endpoint_watch.h"
+
+#include <algorithm>
+#include <exception>
+#include <utility>
+
+#include "common/log.h"
+
+namespace delivery {
+
+namespace {
+
+constexpr Micros kMicrosPerMs = 1000;
+constexpr Micros kWatchHold = 20'000'000;       // how long discovery may hold a request open
+constexpr Micros kResponseTimeout = 1'500'000;  // on top of that, for the response itself
+// The longest backoff, jitter included, stays below 6 s: by then the platform counts on each sender having
+// heard of a change.
+constexpr Micros kInitialBackoff = 100'000;
+constexpr Micros kMaxBackoff = 3'200'000;
+constexpr int kMaxBackoffDoublings = 8;
+
+// Doubles with each failure in a row.
+Micros backoffAfter(int consecutive_failures) {
+  const int doublings = std::min(consecutive_failures - 1, kMaxBackoffDoublings);
+  return std::min(kMaxBackoff, kInitialBackoff << doublings);
+}
+
+// Half to one and a half times the backoff, so that a fleet that failed together does not retry together.
+Micros withJitter(Micros backoff, std::mt19937_64& random) {
+  return std::uniform_int_distribution<Micros>(backoff / 2, backoff * 3 / 2)(random);
+}
+
+}  // namespace
+
+EndpointWatch::EndpointWatch(DiscoveryClient client, std::uint64_t seed, OnAnswer on_answer)
+    : client_(std::move(client)), on_answer_(std::move(on_answer)), random_(seed) {}
+
+void EndpointWatch::changeServer(tcp::endpoint server, std::string host) {
+  client_.changeServer(std::move(server), std::move(host));
+  consecutive_failures_ = 0;  // those were the previous server's
+  start(EndpointList::kNoIndex);
+}
+
+void EndpointWatch::start(std::int64_t known_index) {
+  known_index_ = known_index;
+  requestList();
+}
+
+void EndpointWatch::requestList() {
+  const bool watches = known_index_ >= 0;
+  HttpRequest request;
+  request.method = "GET";
+  request.target = "/v1/endpoints";
+  if (watches)
+    request.target +=
+        "?from=" + std::to_string(known_index_) + "&hold_ms=" + std::to_string(kWatchHold / kMicrosPerMs);
+  const Micros timeout = (watches ? kWatchHold : 0) + kResponseTimeout;
+  client_.send(std::move(request), timeout, [this](const HttpAnswer& response) { onResponse(response); });
+}
+
+void EndpointWatch::onResponse(const HttpAnswer& response) {
+  if (response.completion != Exchanged::answered || response.status != 200 || !response.body_complete) {
+    retryWithBackoff();
+    return;
+  }
+  try {
+    known_index_ = on_answer_(json::parse(response.body));
+  } catch (const std::exception& error) {
+    // One garbled answer must not end the watch.
+    logWarning("discovery", "unreadable_endpoint_list").field("error", error.what());
+    known_index_ = EndpointList::kNoIndex;
+    retryWithBackoff();
+    return;
+  }
+  if (consecutive_failures_ > 0)
+    logInfo("discovery", "calls_succeed_again").field("failed_calls", consecutive_failures_);
+  consecutive_failures_ = 0;
+  requestList();
+}
+
+void EndpointWatch::retryWithBackoff() {
+  if (consecutive_failures_ == 0)
+    logWarning("discovery", "call_failed").field("next", "retry with exponential backoff");
+  ++consecutive_failures_;
+  client_.backOff(withJitter(backoffAfter(consecutive_failures_), random_), [this] { requestList(); });
+}
+
+}  // namespace delivery
--- a/src/process/active_role.h
+++ b/src/process/active_role.h
@@ -8,7 +8,8 @@
 
 #include "common/call_id.h"
 #include "network/client_server.h"
-#include "network/discovery_client.h"
+#include "network/completion_notifier.h"
+#include "network/endpoint_watch.h"
 #include "process/configuration.h"
 #include "process/decision_driver.h"
 #include "process/handover_link.h"
--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -97,7 +97,7 @@
     list = journaled;
   if (!list.is_object() || list.empty())
     return;
-  EndpointList::EndpointListUpdate update = endpoint_list_.apply(list);
+  EndpointListUpdate update = endpoint_list_.apply(list);
   update.kind = EndpointUpdateKind::cached;
   applyEndpointUpdate(update);
 }
@@ -141,7 +141,7 @@
 // ---- Endpoint list
 
 std::int64_t DecisionDriver::onEndpointList(const json& answer) {
-  const EndpointList::EndpointListUpdate update = endpoint_list_.apply(answer);
+  const EndpointListUpdate update = endpoint_list_.apply(answer);
   if (!update.endpoints.empty() || update.kind != EndpointUpdateKind::delta) {
     journal_.recordEndpointList(endpoint_list_.toJson().dump());
     // Attempts are started in turns only, so none starts before the module has seen the update.
@@ -150,7 +150,7 @@
   return endpoint_list_.index();
 }
 
-void DecisionDriver::applyEndpointUpdate(const EndpointList::EndpointListUpdate& update) {
+void DecisionDriver::applyEndpointUpdate(const EndpointListUpdate& update) {
   if (update.kind != EndpointUpdateKind::delta)
     withdrawUnlistedEndpoints();
   EndpointsChanged changed;
--- a/src/process/decision_driver.h
+++ b/src/process/decision_driver.h
@@ -14,8 +14,9 @@
 
 #include "common/call_id.h"
 #include "network/client_server.h"
-#include "network/discovery_client.h"
+#include "network/completion_notifier.h"
 #include "network/endpoint_pool.h"
+#include "protocol/endpoint_list.h"
 #include "protocol/submit_reply.h"
 #include "storage/journal.h"
 
@@ -74,7 +75,7 @@
                       bool after_handover);
   void addUnlistedEndpoint(const std::string& endpoint, std::int64_t destination);
 
-  void applyEndpointUpdate(const EndpointList::EndpointListUpdate& update);
+  void applyEndpointUpdate(const EndpointListUpdate& update);
   void withdrawUnlistedEndpoints();
   void updateEndpoint(const ListedEndpoint& listed);
   bool hasIndependentRoutes(const std::string& destination_kind) const;
--- /dev/null
+++ b/tests/protocol/endpoint_list_test.cpp
@@ -0,0 +1,78 @@
+// Discovery's endpoint list: snapshots, deltas, and answers that can't be read.
+#include "protocol/endpoint_list.h"
+
+#include <gtest/gtest.h>
+
+namespace delivery {
+namespace {
+
+json entry(const std::string& name, const std::string& status = "Ready") {
+  return {{"name", name}, {"address", "10.0.0.4:6379"}, {"zone", "a"},  {"type", "partner"},
+          {"group", 7},   {"status", status},           {"weight", 2.5}};
+}
+
+json answer(std::int64_t index, bool is_snapshot, json endpoints) {
+  return {{"index", index}, {"snapshot", is_snapshot}, {"endpoints", std::move(endpoints)}};
+}
+
+TEST(EndpointList, SnapshotReplacesTheListAndDeltaChangesIt) {
+  EndpointList list;
+  EXPECT_EQ(EndpointList::kNoIndex, list.index());
+  EXPECT_EQ(EndpointUpdateKind::full, list.apply(answer(3, true, {entry("a"), entry("b")})).kind);
+  EXPECT_EQ(3, list.index());
+
+  const EndpointListUpdate delta = list.apply(answer(4, false, {entry("b", "Gone"), entry("c")}));
+  EXPECT_EQ(EndpointUpdateKind::delta, delta.kind);
+  ASSERT_EQ(2u, delta.endpoints.size());
+  EXPECT_EQ(EndpointState::removed, delta.endpoints[0].endpoint.state);
+  EXPECT_TRUE(list.contains("a"));
+  EXPECT_FALSE(list.contains("b"));
+  EXPECT_TRUE(list.contains("c"));
+
+  list.apply(answer(5, true, json::array({entry("d", "Terminating")})));
+  EXPECT_FALSE(list.contains("a"));
+  EXPECT_TRUE(list.contains("d"));
+}
+
+TEST(EndpointList, AnEntryIsReadWithAllItsFields) {
+  EndpointList list;
+  const EndpointListUpdate update = list.apply(answer(1, true, json::array({entry("a", "Terminating")})));
+  ASSERT_EQ(1u, update.endpoints.size());
+  const ListedEndpoint& listed = update.endpoints[0];
+  EXPECT_EQ("a", listed.endpoint.id);
+  EXPECT_EQ("a", listed.endpoint.zone);
+  EXPECT_EQ("partner", listed.endpoint.kind);
+  EXPECT_EQ(7, listed.endpoint.destination);
+  EXPECT_EQ(2.5, listed.endpoint.weight);
+  EXPECT_EQ(EndpointState::draining, listed.endpoint.state);
+  EXPECT_EQ("10.0.0.4:6379", listed.address);
+}
+
+TEST(EndpointList, ItsJsonRestoresItWithFieldsThatAreNotKnownHere) {
+  EndpointList list;
+  json unknown_field = entry("a");
+  unknown_field["since_ms"] = 12;
+  list.apply(answer(9, true, json::array({unknown_field})));
+  EndpointList restored;
+  restored.apply(list.toJson());
+  EXPECT_EQ(9, restored.index());
+  EXPECT_EQ(list.toJson(), restored.toJson());
+  EXPECT_EQ(12, restored.toJson()["endpoints"][0]["since_ms"]);
+}
+
+TEST(EndpointList, AnAnswerThatCannotBeReadChangesNothing) {
+  EndpointList list;
+  list.apply(answer(3, true, json::array({entry("a")})));
+  const json before = list.toJson();
+  json no_group = entry("b");
+  no_group.erase("group");
+  for (const json& unreadable :
+       {json(7), json::object(), json{{"index", 4}, {"endpoints", 5}}, answer(4, true, {entry("b"), 5}),
+        answer(4, true, {entry("b"), entry("c", "Sleeping")}), answer(4, true, {entry("c"), no_group})}) {
+    EXPECT_THROW(list.apply(unreadable), InvalidInput) << unreadable;
+    EXPECT_EQ(before, list.toJson()) << unreadable;
+  }
+}
+
+}  // namespace
+}  // namespace delivery
