--- a/src/network/completion_notifier.cpp
+++ b/src/network/completion_notifier.cpp
@@ -15,11 +15,11 @@
 constexpr Micros kBackoff = 50'000;
 constexpr int kBadRequest = 400;
 
-bool isAnswered(const HttpAnswer& response) {
-  return response.completion == Exchanged::answered;
+bool isAnswered(const HttpResponse& response) {
+  return response.completion == ExchangeStatus::answered;
 }
 
-bool isSuccess(const HttpAnswer& response) {
+bool isSuccess(const HttpResponse& response) {
   return isAnswered(response) && response.status / 100 == 2;
 }
 
@@ -61,10 +61,10 @@
   for (std::size_t i = 0; i < in_flight_; ++i)
     request.body += toLine(pending_[i]);
   client_.send(std::move(request), kResponseTimeout,
-               [this](const HttpAnswer& response) { onResponse(response); });
+               [this](const HttpResponse& response) { onResponse(response); });
 }
 
-void CompletionNotifier::onResponse(const HttpAnswer& response) {
+void CompletionNotifier::onResponse(const HttpResponse& response) {
   const std::size_t sent = std::exchange(in_flight_, 0);
   const bool unreadable = isAnswered(response) && response.status == kBadRequest;
   if (unreadable && sent > 1) {
--- a/src/network/completion_notifier.h
+++ b/src/network/completion_notifier.h
@@ -35,7 +35,7 @@
 
   static std::string toLine(const PendingNotice& pending);
   void sendNextBatch();
-  void onResponse(const HttpAnswer& response);
+  void onResponse(const HttpResponse& response);
   void backOff();
   void acknowledge(std::size_t count);
 
--- a/src/network/endpoint_pool.cpp
+++ b/src/network/endpoint_pool.cpp
@@ -6,6 +6,7 @@
 #include <stdexcept>
 #include <utility>
 
+#include "network/socket_address.h"
 #include "protocol/delivery_response.h"
 
 namespace delivery {
@@ -145,16 +146,16 @@
 }
 
 void EndpointPool::sendRequest(const CallId& id, Call& call) {
-  HttpConnection::Heard callbacks;
-  callbacks.head = [this, id](const HttpAnswer& head) { onResponseHead(id, head); };
+  HttpConnection::ProgressCallbacks callbacks;
+  callbacks.on_head = [this, id](const HttpResponse& head) { onResponseHead(id, head); };
   if (call.connection_state == ConnectionState::opening) {
-    callbacks.connected = [this, id] { onConnected(id); };
+    callbacks.on_connected = [this, id] { onConnected(id); };
   }
   const Micros queued_for = call.queue_timer ? monotonicNow() - call.started_at : 0;
   call.queue_timer.reset();
   call.connection->exchange(
       deliveryRequest(call.message), std::max<Micros>(0, limits_.connect_timeout - queued_for), call.deadline,
-      [this, id](const HttpAnswer& answer) { onExchangeCompleted(id, answer); }, std::move(callbacks));
+      [this, id](const HttpResponse& answer) { onExchangeCompleted(id, answer); }, std::move(callbacks));
 }
 
 void EndpointPool::onConnected(const CallId& id) {
@@ -250,7 +251,7 @@
   call.connection_state = ConnectionState::none;
 }
 
-void EndpointPool::onExchangeCompleted(const CallId& id, const HttpAnswer& answer) {
+void EndpointPool::onExchangeCompleted(const CallId& id, const HttpResponse& answer) {
   const auto entry = calls_.find(id);
   if (entry == calls_.end()) {
     return;
@@ -279,7 +280,7 @@
   on_outcome_(std::move(outcome));
 }
 
-AttemptOutcome EndpointPool::outcomeOf(const CallId& id, const Call& call, const HttpAnswer& answer) const {
+AttemptOutcome EndpointPool::outcomeOf(const CallId& id, const Call& call, const HttpResponse& answer) const {
   AttemptOutcome outcome;
   outcome.id = id.message_id;
   outcome.attempt = id.attempt;
@@ -297,7 +298,7 @@
 }
 
 // The body may be late, or endless: a Retry-After counts from here on, not from the outcome.
-void EndpointPool::onResponseHead(const CallId& id, const HttpAnswer& head) {
+void EndpointPool::onResponseHead(const CallId& id, const HttpResponse& head) {
   const auto entry = calls_.find(id);
   if (entry == calls_.end()) {
     return;
--- a/src/network/endpoint_pool.h
+++ b/src/network/endpoint_pool.h
@@ -94,9 +94,9 @@
   void startQueued();
 
   // Ending it.
-  void onResponseHead(const CallId& id, const HttpAnswer& head);
-  void onExchangeCompleted(const CallId& id, const HttpAnswer& answer);
-  AttemptOutcome outcomeOf(const CallId& id, const Call& call, const HttpAnswer& answer) const;
+  void onResponseHead(const CallId& id, const HttpResponse& head);
+  void onExchangeCompleted(const CallId& id, const HttpResponse& answer);
+  AttemptOutcome outcomeOf(const CallId& id, const Call& call, const HttpResponse& answer) const;
   void withdrawUnwritten(const std::function<bool(const Call&)>& matches);
   void reportLater(const CallId& id, AttemptResult result, Micros started_at);
   void releaseConnection(Call& call);  // in the accounting
--- a/src/network/endpoint_watch.cpp
+++ b/src/network/endpoint_watch.cpp
@@ -56,11 +56,11 @@
     request.target +=
         "?from=" + std::to_string(known_index_) + "&hold_ms=" + std::to_string(kWatchHold / kMicrosPerMs);
   const Micros timeout = (watches ? kWatchHold : 0) + kResponseTimeout;
-  client_.send(std::move(request), timeout, [this](const HttpAnswer& response) { onResponse(response); });
+  client_.send(std::move(request), timeout, [this](const HttpResponse& response) { onResponse(response); });
 }
 
-void EndpointWatch::onResponse(const HttpAnswer& response) {
-  if (response.completion != Exchanged::answered || response.status != 200 || !response.body_complete) {
+void EndpointWatch::onResponse(const HttpResponse& response) {
+  if (response.completion != ExchangeStatus::answered || response.status != 200 || !response.body_complete) {
     retryWithBackoff();
     return;
   }
--- a/src/network/endpoint_watch.h
+++ b/src/network/endpoint_watch.h
@@ -29,7 +29,7 @@
 
  private:
   void requestList();
-  void onResponse(const HttpAnswer& response);
+  void onResponse(const HttpResponse& response);
   void retryWithBackoff();
 
   DiscoveryClient client_;
--- a/src/network/http_connection.h
+++ b/src/network/http_connection.h
@@ -1,71 +1,55 @@
-// One kept-alive HTTP/1.1 connection that carries one exchange at a time, on Boost.Beast. It
-// tells how far an exchange came, never sends anything twice, and is closed to call an exchange off.
+// One kept-alive HTTP/1.1 client connection that carries one exchange at a time, on Boost.Beast.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
+#include <cstddef>
 #include <functional>
 #include <memory>
 #include <string>
-#include <utility>
-#include <vector>
 
 #include "common/clocks.h"
+#include "protocol/http_message.h"
 
 namespace delivery {
 
 using boost::asio::ip::tcp;
 
-struct HttpRequest {
-  std::string method, target;
-  std::vector<std::pair<std::string, std::string>> fields;
-  std::string body;
-  std::string remaining_time_field;  // if named: what is left as it is written, in whole milliseconds
-};
-
-enum class Exchanged {
-  answered,     // a status came
-  not_written,  // no connection, or it broke before the last byte was written
-  broken,       // the connection broke or what came was no HTTP, after the last byte
-  timed_out     // nothing came in time
-};
-
-struct HttpAnswer {
-  Exchanged completion = Exchanged::not_written;
-  int status = 0;
-  bool body_complete = false;  // the body came too
-  bool stale_connection =
-      false;  // not written, as the other side had closed a connection that was used before
-  std::string body;
-  std::vector<std::pair<std::string, std::string>> fields;
-  const std::string* field(const std::string& name) const;  // in lower case
-};
-
+// Reports exactly how far an exchange got and never sends a request twice: what may have run must not be
+// repeated blindly. Its owner destroys it to call an exchange off. All callbacks run on the event loop, never
+// from within a call of the connection's functions.
 class HttpConnection {
  public:
-  using Done = std::function<void(const HttpAnswer&)>;
-  // Connected: a connection that had to be opened is up, and the request not written yet. Head: that of the
-  // answer has come, and its body is still on the way.
-  struct Heard {
-    std::function<void()> connected;
-    Done head;
+  using Done = std::function<void(const HttpResponse&)>;
+
+  // What an exchange reports before it is done; each callback is called once at most.
+  struct ProgressCallbacks {
+    std::function<void()> on_connected;  // a connection had to be opened and is up; nothing is written yet
+    Done on_head;                        // the response's head is here, and its body still on the way
   };
-  HttpConnection(boost::asio::io_context& io, tcp::endpoint peer, std::string host, std::size_t body_limit);
-  ~HttpConnection();  // closes it; an exchange under way is called off and its Done never called
+
+  // Opens nothing yet. A response with a longer body than `max_body_bytes` is cut off there and not complete.
+  HttpConnection(boost::asio::io_context& io, tcp::endpoint peer, std::string host,
+                 std::size_t max_body_bytes);
+  // Closes the connection; no callback of an exchange under way is called any more.
+  ~HttpConnection();
   HttpConnection(const HttpConnection&) = delete;
   HttpConnection& operator=(const HttpConnection&) = delete;
 
-  // Done is called once, from the event loop, never from within this call.
-  void exchange(HttpRequest request, Micros connect_limit, Deadline until, Done done, Heard heard = {});
-  void abandon();         // its time is up now: Done gets the answer that is in the socket, or that none came
-  bool reusable() const;  // open, idle, and not closed from the other side
-  bool requestWritten() const;  // the last byte of the exchange under way is the kernel's
+  // Opens the connection if need be, within `connect_timeout`, writes the request and reads the response
+  // until `deadline`. `done` is called once. One exchange at a time.
+  void exchange(HttpRequest request, Micros connect_timeout, Deadline deadline, Done done,
+                ProgressCallbacks progress = {});
+
+  // Ends the exchange now as if its deadline had come: a response that is in the socket already still counts.
+  void abandon();
+
+  bool reusable() const;        // open, idle, and not closed by the peer
+  bool requestWritten() const;  // the kernel has taken the last byte of the current request
 
  private:
-  struct State;
-  std::shared_ptr<State> state_;
+  class Impl;
+  std::shared_ptr<Impl> impl_;  // the handlers of asynchronous operations share it
 };
 
-tcp::endpoint parseAddress(const std::string& address);  // "10.0.0.4:6379"; throws std::invalid_argument
-
 }  // namespace delivery
--- a/src/process/active_role.cpp
+++ b/src/process/active_role.cpp
@@ -2,6 +2,7 @@
 
 #include "common/log.h"
 #include "network/listener.h"
+#include "network/socket_address.h"
 
 namespace delivery {
 
--- a/src/process/sender_process.cpp
+++ b/src/process/sender_process.cpp
@@ -5,6 +5,7 @@
 
 #include "common/clocks.h"
 #include "common/log.h"
+#include "network/socket_address.h"
 
 namespace delivery {
 
--- a/src/protocol/delivery_response.cpp
+++ b/src/protocol/delivery_response.cpp
@@ -38,7 +38,7 @@
   return parseNumber(list.substr(value_begin)).value_or(0);
 }
 
-AttemptResult resultOfStatus(const HttpAnswer& answer) {
+AttemptResult resultOfStatus(const HttpResponse& answer) {
   switch (answer.status) {
     case kStatusOk:
       return AttemptResult::ok;
@@ -58,15 +58,15 @@
 
 }  // namespace
 
-AttemptResult attemptResultOf(const HttpAnswer& answer) {
+AttemptResult attemptResultOf(const HttpResponse& answer) {
   switch (answer.completion) {
-    case Exchanged::not_written:
+    case ExchangeStatus::not_written:
       return AttemptResult::connect_failed;
-    case Exchanged::broken:
+    case ExchangeStatus::broken:
       return AttemptResult::reset;
-    case Exchanged::timed_out:
+    case ExchangeStatus::timed_out:
       return AttemptResult::timeout;
-    case Exchanged::answered:
+    case ExchangeStatus::answered:
       break;
   }
   // A truncated answer can't be trusted, and the call may have run; a status of 200 alone says it did.
@@ -76,12 +76,12 @@
   return resultOfStatus(answer);
 }
 
-bool isMessageFinished(const HttpAnswer& answer) {
-  return answer.completion == Exchanged::answered &&
+bool isMessageFinished(const HttpResponse& answer) {
+  return answer.completion == ExchangeStatus::answered &&
          (answer.status == kStatusOk || answer.status == kStatusGone);
 }
 
-Micros retryAfterOf(const HttpAnswer& answer) {
+Micros retryAfterOf(const HttpResponse& answer) {
   if (answer.status != kStatusTooManyRequests && answer.status != kStatusServiceUnavailable) {
     return 0;
   }
@@ -97,7 +97,7 @@
   return static_cast<Micros>(std::ceil(micros));
 }
 
-std::optional<LoadReport> loadReportOf(const HttpAnswer& answer) {
+std::optional<LoadReport> loadReportOf(const HttpResponse& answer) {
   const std::string* field = answer.field("x-pressure");
   if (field == nullptr) {
     return std::nullopt;
--- a/src/protocol/delivery_response.h
+++ b/src/protocol/delivery_response.h
@@ -4,19 +4,19 @@
 #include <optional>
 
 #include "decision/scheduler.h"
-#include "network/http_connection.h"
+#include "protocol/http_message.h"
 
 namespace delivery {
 
 // By the protocol's table of answers; an answer that is not in it is an error.
-AttemptResult attemptResultOf(const HttpAnswer& answer);
+AttemptResult attemptResultOf(const HttpResponse& answer);
 
 // The message needs no further attempt: it was delivered, or is gone.
-bool isMessageFinished(const HttpAnswer& answer);
+bool isMessageFinished(const HttpResponse& answer);
 
 // From its Retry-After field; 0: none. The head suffices: it counts whatever becomes of the body.
-Micros retryAfterOf(const HttpAnswer& answer);
+Micros retryAfterOf(const HttpResponse& answer);
 
-std::optional<LoadReport> loadReportOf(const HttpAnswer& answer);
+std::optional<LoadReport> loadReportOf(const HttpResponse& answer);
 
 }  // namespace delivery
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -4,6 +4,8 @@
 #include <boost/asio/io_context.hpp>
 #include <optional>
 
+#include "network/http_connection.h"
+#include "network/socket_address.h"
 #include "support/loopback.h"
 
 namespace delivery {
@@ -67,10 +69,10 @@
   HttpRequest request;
   request.method = "POST";
   request.target = "/hook";
-  std::optional<HttpAnswer> answered;
+  std::optional<HttpResponse> answered;
   const Deadline until = within(3'000'000);
   connection.exchange(std::move(request), 3'000'000, until,
-                      [&](const HttpAnswer& received) { answered = received; });
+                      [&](const HttpResponse& received) { answered = received; });
   const int fd = ::accept4(listener.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   char piece[4096];
   while (::recv(fd, piece, sizeof piece, 0) <= 0)
@@ -86,7 +88,7 @@
   }  // busy: the event loop does not run
   while (!answered)
     io.run_one_for(std::chrono::milliseconds(100));
-  EXPECT_EQ(Exchanged::answered, answered->completion);
+  EXPECT_EQ(ExchangeStatus::answered, answered->completion);
   EXPECT_EQ(429, answered->status);
   EXPECT_TRUE(answered->body_complete);
   EXPECT_TRUE(connection.reusable());
@@ -102,15 +104,15 @@
   HttpRequest request;
   request.method = "POST";
   request.target = "/hook";
-  std::optional<HttpAnswer> answered;
+  std::optional<HttpResponse> answered;
   const Micros connect_limit = 20'000, from = monotonicNow();
   connection.exchange(std::move(request), connect_limit, within(60'000'000),
-                      [&](const HttpAnswer& received) { answered = received; });
+                      [&](const HttpResponse& received) { answered = received; });
   while (monotonicNow() - from <= connect_limit + 1000) {
   }  // busy: the event loop does not run
   while (!answered)
     io.run_one_for(std::chrono::milliseconds(100));
-  EXPECT_EQ(server.seen().empty(), answered->completion == Exchanged::not_written);
+  EXPECT_EQ(server.seen().empty(), answered->completion == ExchangeStatus::not_written);
   EXPECT_EQ(200, answered->status);
 }
 
--- a/tests/protocol/delivery_response_test.cpp
+++ b/tests/protocol/delivery_response_test.cpp
@@ -8,9 +8,9 @@
 namespace delivery {
 namespace {
 
-HttpAnswer answerWith(int status, const std::string& field = "", const std::string& value = "") {
-  HttpAnswer answer;
-  answer.completion = Exchanged::answered;
+HttpResponse answerWith(int status, const std::string& field = "", const std::string& value = "") {
+  HttpResponse answer;
+  answer.completion = ExchangeStatus::answered;
   answer.status = status;
   answer.body_complete = true;
   if (!field.empty()) {
@@ -47,8 +47,8 @@
 TEST(DeliveryResponse, OnlyDeliveredAndGoneFinishAMessage) {
   for (const int status : {200, 410}) {
     EXPECT_TRUE(isMessageFinished(answerWith(status)));
-    HttpAnswer lost = answerWith(status);
-    lost.completion = Exchanged::timed_out;
+    HttpResponse lost = answerWith(status);
+    lost.completion = ExchangeStatus::timed_out;
     EXPECT_FALSE(isMessageFinished(lost));
   }
   for (const int status : {201, 418, 429, 500, 503, 504}) {
