--- a/src/programs/simulator_adapter.cpp
+++ b/src/programs/simulator_adapter.cpp
@@ -1,285 +1,183 @@
-// The adapter between the simulator's wire (lines of JSON on standard input and output) and the
-// decision module. It translates and keeps many isolated instances; it decides nothing.
+// The program between the simulator and the decision module: reads one batch of events as a line of JSON from
+// standard input and answers with one line of commands, until the input ends. It keeps many isolated senders
+// and decides nothing.
+//
+// Exit code: 0 at the end of the input, 2 after a line that can't be read (named on standard error).
 #include <algorithm>
+#include <cstdint>
+#include <exception>
 #include <iostream>
 #include <map>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
 
-#include "protocol/settings_reader.h"
-
-using namespace delivery;
+#include "protocol/simulator_wire.h"
 
+namespace delivery {
 namespace {
 
-constexpr EnumWord<AttemptResult> kAttemptResultWords[] = {
-    {"success", AttemptResult::ok},
-    {"failure", AttemptResult::error},
-    {"overloaded", AttemptResult::throttled},
-    {"timed_out", AttemptResult::timeout},
-    {"unreachable", AttemptResult::connect_failed},
-    {"broken", AttemptResult::reset},
-    {"withdrawn", AttemptResult::cancelled},
-    {"void", AttemptResult::not_sent},
-};
+constexpr int kExitInvalidInput = 2;
 
-AttemptResult readResult(const json& o) {
-  return enumFromWord(readString(o, "How"), kAttemptResultWords, "How");
-}
+// One simulated sender: its decision module, and its events of the batch that is being read.
+struct SimulatedSender {
+  SimulatedSender(SimulatedSenderId id, const SenderStart& start)
+      : scheduler(start.settings, start.seed), load_report_columns(start.load_report_columns), commands(id) {}
 
-struct Instance {
-  explicit Instance(Settings s, std::uint64_t seed, int left_at, int limit_at)
-      : sender(std::move(s), seed), x0(left_at), x1(limit_at) {}
-  DeliveryScheduler sender;
-  int x0, x1;  // where the load report holds them, -1: nowhere
+  DeliveryScheduler scheduler;
+  const LoadReportColumns load_report_columns;
+  SimulatorCommandWriter commands;
   std::vector<Event> events;
-  std::int64_t label = 0;
 };
 
 class SimulatorAdapter {
  public:
-  std::string turn(const std::string& line) {
-    json batch = json::parse(line, nullptr, false);
+  // Takes a batch of events and returns the commands of all senders that have events in it. Throws
+  // InvalidInput.
+  std::string processBatch(const std::string& line) {
+    const json batch = json::parse(line, nullptr, false);
     if (batch.is_discarded())
       throw InvalidInput(InputProblem::malformed, "", "not JSON");
     if (!batch.is_object())
       throw InvalidInput(InputProblem::wrong_type, "", "not an object");
     const Micros now = readMilliseconds(batch, "SimTimeMs");
-    touched_.clear();
-    faults_.clear();
-    for (const json& e : readArray(batch, "arrivals"))
-      take(e);
-    json cmds = json::array();
-    for (std::int64_t who : touched_)
-      answer(who, now, cmds);
-    for (const auto& [who, words] : faults_)
-      cmds.push_back({{"Fatal", {{"Who", who}, {"Words", words}}}});
-    return json{{"cmds", std::move(cmds)}}.dump();
+    senders_in_batch_.clear();
+    for (const json& event : readArray(batch, "arrivals"))
+      processEvent(event);
+    return json{{"cmds", decide(now)}}.dump();
   }
 
  private:
-  void take(const json& e) {
-    if (!e.is_object() || e.size() != 1)
+  void processEvent(const json& event) {
+    if (!event.is_object() || event.size() != 1)
       throw InvalidInput(InputProblem::wrong_type, "", "an event is an object of one key");
-    const std::string name = e.begin().key();
+    const std::string& name = event.begin().key();
     try {
-      takeNamed(name, e.begin().value());
-    } catch (const InvalidInput& b) {
-      throw InvalidInput(b.problem(), name + "." + b.field(), name + ": " + b.what());
+      processEvent(name, event.begin().value());
+    } catch (const InvalidInput& error) {
+      throw InvalidInput(error.problem(), name + "." + error.field(), name + ": " + error.what());
     }
   }
 
-  void takeNamed(const std::string& name, const json& f) {
-    if (!f.is_object())
+  void processEvent(const std::string& name, const json& fields) {
+    if (!fields.is_object())
       throw InvalidInput(InputProblem::wrong_type, "", "not an object");
-    if (name == "Roster")
-      return roster(f);
-    const std::int64_t who = readInteger(f, "Who");
-    if (name == "Attach")
-      return attach(who, f);
-    auto it = instances_.find(who);
-    if (it == instances_.end())
+    if (name == "Roster") {
+      EndpointSheet sheet = parseRoster(fields);
+      endpoint_sheets_[sheet.number] = std::move(sheet.endpoints);
+      return;
+    }
+    const SimulatedSenderId id = readInteger(fields, "Who");
+    if (name == "Attach") {
+      startSender(id, parseAttach(fields));
+      return;
+    }
+    const auto it = senders_.find(id);
+    if (it == senders_.end())
       throw InvalidInput(InputProblem::unknown_value, "Who",
-                         "instance never attached: " + std::to_string(who));
+                         "instance never attached: " + std::to_string(id));
     if (name == "PowerOff") {
-      instances_.erase(it);
+      senders_.erase(it);
       return;
     }
-    Instance& i = it->second;
-    if (std::find(touched_.begin(), touched_.end(), who) == touched_.end())
-      touched_.push_back(who);
-    if (name == "Members") {
-      i.events.push_back(members(f));
-    } else if (name == "Call") {
-      i.events.push_back(call(f));
-    } else if (name == "TimeoutFired") {
-      readInteger(f, "Label");
-      i.events.push_back(TimerFired{});
-    } else if (name == "CheckResult") {
-      readResult(f);  // the module never probes, so there is nobody to tell
-    } else if (name == "Established") {
-      readInteger(f, "Attempt");  // no class here has streamed answers
-    } else if (name == "Left") {
-      i.events.push_back(Abandoned{readString(f, "OpId")});
-    } else if (name == "Reply") {
-      i.events.push_back(reply(i, f));
-    } else if (name != "Whisper") {
-      throw InvalidInput(InputProblem::unknown_value, "", "unknown event");
-    }
+    if (std::find(senders_in_batch_.begin(), senders_in_batch_.end(), id) == senders_in_batch_.end())
+      senders_in_batch_.push_back(id);
+    SimulatedSender& sender = it->second;
+    if (auto event = toModuleEvent(name, fields, sender.load_report_columns))
+      sender.events.push_back(std::move(*event));
   }
 
-  void attach(std::int64_t who, const json& f) {
-    const json& seed = requireField(f, "RandomSeed");
-    if (!seed.is_number_integer())
-      throw InvalidInput(InputProblem::wrong_type, "RandomSeed", "not a whole number: RandomSeed");
-    const json& o = readObject(f, "Options");
-    int x0 = -1, x1 = -1, at = 0;
-    const json& stats = readOptionalObject(o, "Stats");
-    if (!isAbsent(stats, "Fields"))
-      for (const json& n : readArray(stats, "Fields")) {
-        if (n == "x0")
-          x0 = at;
-        if (n == "x1")
-          x1 = at;
-        ++at;
-      }
-    Settings s = readSettings(o);
-    instances_.erase(who);
-    instances_.emplace(std::piecewise_construct, std::forward_as_tuple(who),
-                       std::forward_as_tuple(std::move(s), seed.get<std::uint64_t>(), x0, x1));
+  // Attaching a sender that runs already is a restart of it.
+  void startSender(SimulatedSenderId id, const SenderStart& start) {
+    senders_.erase(id);
+    senders_.try_emplace(id, id, start);
   }
 
-  void roster(const json& f) {
-    std::vector<EndpointInfo> list;
-    for (const json& m : readArray(f, "Members")) {
-      EndpointInfo e;
-      e.id = readString(m, "Endpoint");
-      e.zone = readString(m, "Hall", "");
-      e.kind = readString(m, "Hw", "");
-      e.destination = readInteger(m, "Cell");
-      const std::int64_t mode = readInteger(m, "Mode");
-      if (mode < 1 || mode > 3)
-        throw InvalidInput(InputProblem::unknown_value, "Mode", "unknown value of Mode");
-      e.state = mode == 3   ? EndpointState::ready
-                : mode == 2 ? EndpointState::draining
-                            : EndpointState::removed;
-      e.weight = readNumber(m, "Share", 0);
-      list.push_back(std::move(e));
-    }
-    sheets_[readInteger(f, "Sheet")] = std::move(list);
+  // None for an event that does not matter to the module.
+  std::optional<Event> toModuleEvent(const std::string& name, const json& fields,
+                                     const LoadReportColumns& columns) const {
+    if (name == "Members")
+      return toEndpointsChanged(parseMembers(fields));
+    if (name == "Call")
+      return parseCall(fields);
+    if (name == "TimeoutFired")
+      return parseTimeoutFired(fields);
+    if (name == "Left")
+      return parseLeft(fields);
+    if (name == "Reply")
+      return parseReply(fields, columns);
+    if (name == "CheckResult")
+      checkCheckResult(fields);
+    else if (name == "Established")
+      checkEstablished(fields);
+    else if (name != "Whisper")
+      throw InvalidInput(InputProblem::unknown_value, "", "unknown event");
+    return std::nullopt;
   }
 
-  EndpointsChanged members(const json& f) {
-    const std::int64_t kind = readInteger(f, "Kind");
-    if (kind < 0 || kind > 3)
-      throw InvalidInput(InputProblem::unknown_value, "Kind", "unknown value of Kind");
-    const EndpointUpdateKind kinds[] = {EndpointUpdateKind::delta, EndpointUpdateKind::full,
-                                        EndpointUpdateKind::cached, EndpointUpdateKind::failed};
-    EndpointsChanged u;
-    u.kind = kinds[kind];
-    if (u.kind == EndpointUpdateKind::failed)
-      return u;
-    const std::int64_t sheet = readInteger(f, "Sheet");
-    auto it = sheets_.find(sheet);
-    if (it == sheets_.end())
+  EndpointsChanged toEndpointsChanged(const MembershipChange& change) const {
+    if (!change.sheet_number)
+      return {change.kind, {}};
+    const auto sheet = endpoint_sheets_.find(*change.sheet_number);
+    if (sheet == endpoint_sheets_.end())
       throw InvalidInput(InputProblem::unknown_value, "Sheet",
-                         "list number never given: " + std::to_string(sheet));
-    u.endpoints = it->second;
-    return u;
-  }
-
-  static Arrival call(const json& f) {
-    Arrival a;
-    a.id = readString(f, "OpId");
-    a.message_class = readString(f, "TierClass");
-    if (!isAbsent(f, "Billing") && f["Billing"].is_string())
-      a.tenant = readString(f, "Billing");
-    a.order_key = readString(f, "RouteKey", "");
-    a.destination = static_cast<std::int64_t>(readNumber(f, "FarEnd"));
-    a.deadline = Deadline(readMilliseconds(f, "GiveUpAtMs"));
-    a.work_estimate = readMilliseconds(f, "EstimateMs", 0);
-    a.is_retry = readBoolean(f, "Retry", false) || readBoolean(f, "Reconnect", false);
-    return a;
-  }
-
-  static std::optional<LoadReport> gauge(const Instance& i, const json& f) {
-    if (isAbsent(f, "Gauge"))
-      return std::nullopt;
-    const json& row = readArray(f, "Gauge");
-    auto at = [&](int k) {
-      return k >= 0 && k < static_cast<int>(row.size()) && row[static_cast<std::size_t>(k)].is_number()
-                 ? row[static_cast<std::size_t>(k)].get<double>()
-                 : 0.0;
-    };
-    if (i.x0 < 0 && i.x1 < 0)
-      return std::nullopt;
-    return LoadReport{at(i.x0), at(i.x1)};
+                         "list number never given: " + std::to_string(*change.sheet_number));
+    return {change.kind, sheet->second};
   }
 
-  static AttemptOutcome reply(const Instance& i, const json& f) {
-    AttemptOutcome o;
-    o.id = readString(f, "OpId");
-    o.attempt = static_cast<int>(readInteger(f, "Attempt"));
-    o.result = readResult(f);
-    o.finished = readBoolean(f, "Finished", false);
-    if (o.result == AttemptResult::throttled)
-      o.retry_after = readMilliseconds(f, "Detail", 0);
-    o.round_trip_time = readMilliseconds(f, "RttMs", 0);
-    o.load_report = gauge(i, f);
-    return o;
+  // The commands of all senders of the batch, and after them the faults.
+  json decide(Micros now) {
+    json commands = json::array();
+    json faults = json::array();
+    for (const SimulatedSenderId id : senders_in_batch_) {
+      const auto it = senders_.find(id);
+      if (it == senders_.end())  // powered off later in the batch
+        continue;
+      try {
+        decide(it->second, now, commands);
+      } catch (const std::exception& error) {
+        faults.push_back(fatalCommand(id, error.what()));
+      }
+    }
+    commands.insert(commands.end(), faults.begin(), faults.end());
+    return commands;
   }
 
-  void answer(std::int64_t who, Micros now, json& cmds) {
-    auto it = instances_.find(who);
-    if (it == instances_.end())
-      return;
-    Instance& i = it->second;
+  static void decide(SimulatedSender& sender, Micros now, json& commands) {
     std::vector<Event> events;
-    events.swap(i.events);
+    events.swap(sender.events);
     if (events.empty())
       return;
-    try {
-      for (const Action& a : i.sender.decide(now, events))
-        if (json c = command(i, who, a); !c.is_null())
-          cmds.push_back(std::move(c));
-    } catch (const std::exception& e) {
-      faults_.emplace_back(who, e.what());
-    }
+    for (const Action& action : sender.scheduler.decide(now, events))
+      if (auto command = sender.commands.write(action))
+        commands.push_back(std::move(*command));
   }
 
-  static json command(Instance& i, std::int64_t who, const Action& action) {
-    struct Writer {
-      Instance& i;
-      std::int64_t who;
-      json operator()(const SendAttempt& a) const {
-        return {{"SubmitTo",
-                 {{"Who", who},
-                  {"OpId", a.id},
-                  {"Endpoint", a.endpoint},
-                  {"WithinMs", millisecondsFromMicros(a.timeout)}}}};
-      }
-      json operator()(const CancelAttempt& a) const {
-        return {{"StopAttempt", {{"Who", who}, {"OpId", a.id}, {"Attempt", a.attempt}}}};
-      }
-      json operator()(const Reject& a) const {
-        return {{"Decline",
-                 {{"Who", who}, {"OpId", a.id}, {"CoolDownMs", millisecondsFromMicros(a.retry_after)}}}};
-      }
-      json operator()(const Fail& a) const { return {{"FinishError", {{"Who", who}, {"OpId", a.id}}}}; }
-      json operator()(const HealthRecord&) const { return nullptr; }  // here nothing outlasts a process
-      json operator()(const delivery::SubscribeEndpoints&) const {
-        return {{"Watch", {{"Who", who}, {"Active", true}}}};
-      }
-      json operator()(const CloseIdleConnections& a) const {
-        return {{"Disconnect", {{"Who", who}, {"Endpoint", a.endpoint}}}};
-      }
-      json operator()(const SetTimer& a) const {
-        return {
-            {"NotifyMe", {{"Who", who}, {"Label", ++i.label}, {"SpanMs", millisecondsFromMicros(a.delay)}}}};
-      }
-    };
-    return std::visit(Writer{i, who}, action);
-  }
-
-  std::map<std::int64_t, Instance> instances_;
-  std::map<std::int64_t, std::vector<EndpointInfo>> sheets_;
-  std::vector<std::int64_t> touched_;
-  std::vector<std::pair<std::int64_t, std::string>> faults_;
+  std::map<SimulatedSenderId, SimulatedSender> senders_;
+  std::map<std::int64_t, std::vector<EndpointInfo>> endpoint_sheets_;  // by their number
+  std::vector<SimulatedSenderId> senders_in_batch_;                    // in the order of their first event
 };
 
-}  // namespace
-
-int main() {
-  std::ios::sync_with_stdio(false);
-  std::cin.tie(nullptr);
-  SimulatorAdapter host;
+int run() {
+  SimulatorAdapter adapter;
   std::string line;
-  for (long number = 1; std::getline(std::cin, line); ++number) {
+  for (std::int64_t line_number = 1; std::getline(std::cin, line); ++line_number) {
     try {
-      const std::string reply = host.turn(line);
-      std::cout << reply << '\n' << std::flush;
-    } catch (const std::exception& e) {
-      std::cerr << "line " << number << ": " << e.what() << '\n';
-      return 2;
+      std::cout << adapter.processBatch(line) << '\n' << std::flush;
+    } catch (const std::exception& error) {
+      std::cerr << "line " << line_number << ": " << error.what() << '\n';
+      return kExitInvalidInput;
     }
   }
   return 0;
 }
+
+}  // namespace
+}  // namespace delivery
+
+int main() {
+  std::ios::sync_with_stdio(false);
+  std::cin.tie(nullptr);
+  return delivery::run();
+}
--- a/tests/programs/simulator_adapter_test.cpp
+++ b/tests/programs/simulator_adapter_test.cpp
@@ -1,5 +1,6 @@
-// The adapter on bad and odd input: one plain line on standard error and a status that is not zero, or
-// carries on.
+// The simulator's adapter as a program: what it answers, and what it does with input that can't be read (one
+// plain line on standard error and a status that is not zero).
+#include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -9,37 +10,38 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <sstream>
-
-#include "support/scheduler_fixture.h"
+#include <string>
+#include <utility>
 
 using nlohmann::json;
 
 namespace {
 
-struct Ran {
-  int status = 0;
-  std::string out, err;
+struct ProgramResult {
+  int exit_code = 0;
+  std::string output, errors;  // standard output and standard error
 };
 
-std::string slurp(const std::string& path) {
-  std::ifstream f(path);
-  std::stringstream s;
-  s << f.rdbuf();
-  return s.str();
+std::string readFile(const std::string& path) {
+  std::ifstream file(path);
+  std::stringstream content;
+  content << file.rdbuf();
+  return content.str();
 }
 
-Ran host(const std::string& input, const char* adapter = SIMULATOR_ADAPTER) {
+// Runs the adapter on this standard input until it ends.
+ProgramResult runAdapter(const std::string& input, const char* adapter = SIMULATOR_ADAPTER) {
   const std::string base = ::testing::TempDir() + "simulator-adapter-" + std::to_string(::getpid());
   std::ofstream(base + ".in") << input;
-  const std::string cmd = std::string(adapter) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
-  const int raw = std::system(cmd.c_str());
-  Ran r;
-  r.status = WEXITSTATUS(raw);
-  r.out = slurp(base + ".out");
-  r.err = slurp(base + ".err");
-  for (const char* end : {".in", ".out", ".err"})
-    std::remove((base + end).c_str());
-  return r;
+  const std::string command = std::string(adapter) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
+  const int status = std::system(command.c_str());
+  ProgramResult result;
+  result.exit_code = WEXITSTATUS(status);
+  result.output = readFile(base + ".out");
+  result.errors = readFile(base + ".err");
+  for (const char* suffix : {".in", ".out", ".err"})
+    std::remove((base + suffix).c_str());
+  return result;
 }
 
 json options() {
@@ -51,11 +53,11 @@
     "Stats":{"Fields":["x0","x1"],"How":"piggyback"},"WeightKind":"silent","NeverHeardOf":{"a":1}})");
 }
 
-std::string batch(double t, const json& events) {
-  return json{{"SimTimeMs", t}, {"arrivals", events}}.dump() + "\n";
+std::string batch(double time_ms, const json& events) {
+  return json{{"SimTimeMs", time_ms}, {"arrivals", events}}.dump() + "\n";
 }
-json attach(json o = options(), int who = 0) {
-  return {{"Attach", {{"Who", who}, {"RandomSeed", 1}, {"Options", std::move(o)}}}};
+json attach(json sender_options = options(), int who = 0) {
+  return {{"Attach", {{"Who", who}, {"RandomSeed", 1}, {"Options", std::move(sender_options)}}}};
 }
 json roster() {
   return {{"Roster",
@@ -83,11 +85,11 @@
             {"GiveUpAtMs", 9000.0}}}};
 }
 
-TEST(SimulatorAdapter, SendsWhatArrivesAndEndsWithInput) {
-  const Ran r = host(batch(1000, {attach(), roster(), members(), call("00000000000000aa")}) +
-                     batch(1001, json::array()));
-  EXPECT_EQ(r.status, 0) << r.err;
-  std::istringstream lines(r.out);
+TEST(SimulatorAdapter, SendsSubmittedMessagesAndEndsWithItsInput) {
+  const ProgramResult result = runAdapter(
+      batch(1000, {attach(), roster(), members(), call("00000000000000aa")}) + batch(1001, json::array()));
+  EXPECT_EQ(result.exit_code, 0) << result.errors;
+  std::istringstream lines(result.output);
   std::string first, second;
   std::getline(lines, first);
   std::getline(lines, second);
@@ -95,25 +97,26 @@
   EXPECT_EQ(second, R"({"cmds":[]})");
 }
 
-TEST(SimulatorAdapter, RestartInTheSameBatchLeavesNothingOfTheEarlierLife) {
-  const json off = {{"PowerOff", {{"Who", 0}}}};
-  const json late = {{"Reply",
-                      {{"Who", 0},
-                       {"OpId", "a"},
-                       {"Finished", false},
-                       {"Attempt", 0},
-                       {"Endpoint", "h:1"},
-                       {"How", "timed_out"},
-                       {"Detail", nullptr},
-                       {"RttMs", 3.0},
-                       {"Gauge", nullptr}}}};
-  const Ran r = host(batch(1000, {attach(), roster(), members(), call("a")}) +
-                     batch(2000, {off, attach(), members()}) + batch(2005, json::array({late})));
-  EXPECT_EQ(r.status, 0) << r.err;
-  EXPECT_EQ(r.out.find("FinishError"), std::string::npos) << r.out;
+TEST(SimulatorAdapter, RestartInTheSameBatchKeepsNothingOfThePreviousIncarnation) {
+  const json power_off = {{"PowerOff", {{"Who", 0}}}};
+  const json late_reply = {{"Reply",
+                            {{"Who", 0},
+                             {"OpId", "a"},
+                             {"Finished", false},
+                             {"Attempt", 0},
+                             {"Endpoint", "h:1"},
+                             {"How", "timed_out"},
+                             {"Detail", nullptr},
+                             {"RttMs", 3.0},
+                             {"Gauge", nullptr}}}};
+  const ProgramResult result =
+      runAdapter(batch(1000, {attach(), roster(), members(), call("a")}) +
+                 batch(2000, {power_off, attach(), members()}) + batch(2005, json::array({late_reply})));
+  EXPECT_EQ(result.exit_code, 0) << result.errors;
+  EXPECT_EQ(result.output.find("FinishError"), std::string::npos) << result.output;
 }
 
-TEST(SimulatorAdapter, BadInputIsNamedOnOneLine) {
+TEST(SimulatorAdapter, InvalidInputIsNamedOnOneLine) {
   json mistyped = options();
   mistyped["Categories"][0]["AimMs"] = "soon";
   json negative = options();
@@ -135,49 +138,53 @@
       {batch(1, json::array({attach(mistyped)})), "AimMs"},
       {batch(1, json::array({attach(negative)})), "tick"},
   };
-  for (const auto& [input, names] : cases) {
-    const Ran r = host(input);
-    EXPECT_NE(r.status, 0) << input;
-    EXPECT_EQ(r.out, "") << input;
-    EXPECT_NE(r.err.find(names), std::string::npos) << r.err;
-    EXPECT_EQ(std::count(r.err.begin(), r.err.end(), '\n'), 1) << r.err;
+  for (const auto& [input, expected] : cases) {
+    const ProgramResult result = runAdapter(input);
+    EXPECT_NE(result.exit_code, 0) << input;
+    EXPECT_EQ(result.output, "") << input;
+    EXPECT_NE(result.errors.find(expected), std::string::npos) << result.errors;
+    EXPECT_EQ(std::count(result.errors.begin(), result.errors.end(), '\n'), 1) << result.errors;
   }
 }
 
-TEST(SimulatorAdapter, AnExceptionInTheModuleIsAFaultWithItsTextAndTheHostGoesOn) {
-  const Ran r = host(batch(1000, {attach(), roster(), members()}) + batch(1001, json::array()),
-                     SIMULATOR_ADAPTER_THROWING);
-  EXPECT_EQ(r.status, 0) << r.err;
-  EXPECT_EQ(r.out,
+TEST(SimulatorAdapter, AnExceptionInTheModuleIsReportedAsFatalAndTheAdapterGoesOn) {
+  const ProgramResult result = runAdapter(
+      batch(1000, {attach(), roster(), members()}) + batch(1001, json::array()), SIMULATOR_ADAPTER_THROWING);
+  EXPECT_EQ(result.exit_code, 0) << result.errors;
+  EXPECT_EQ(result.output,
             "{\"cmds\":[{\"Fatal\":{\"Who\":0,\"Words\":\"tag without a message\"}}]}\n{\"cmds\":[]}\n");
 }
 
-TEST(SimulatorAdapter, HundredsOfSendersKilledAndAttachedInOneBatchKeepNothing) {
-  json first = json::array({roster()}), again = json::array();
+TEST(SimulatorAdapter, HundredsOfSendersRestartedInOneBatchKeepNothing) {
+  json first_batch = json::array({roster()});
+  json restart_batch = json::array();
   for (int who = 0; who < 300; ++who) {
-    first.push_back(attach(options(), who));
-    json list = members(), message = call("m" + std::to_string(who));
-    list["Members"]["Who"] = message["Call"]["Who"] = who;
-    first.push_back(list);
-    first.push_back(message);
-    again.push_back({{"PowerOff", {{"Who", who}}}});
-    again.push_back(attach(options(), who));
-    again.push_back(list);
+    first_batch.push_back(attach(options(), who));
+    json membership = members();
+    json message = call("m" + std::to_string(who));
+    membership["Members"]["Who"] = who;
+    message["Call"]["Who"] = who;
+    first_batch.push_back(membership);
+    first_batch.push_back(message);
+    restart_batch.push_back({{"PowerOff", {{"Who", who}}}});
+    restart_batch.push_back(attach(options(), who));
+    restart_batch.push_back(membership);
   }
-  const Ran r = host(batch(1000, first) + batch(2000, again) + batch(20000, json::array()));
-  EXPECT_EQ(r.status, 0) << r.err;
-  std::istringstream lines(r.out);
+  const ProgramResult result =
+      runAdapter(batch(1000, first_batch) + batch(2000, restart_batch) + batch(20000, json::array()));
+  EXPECT_EQ(result.exit_code, 0) << result.errors;
+  std::istringstream lines(result.output);
   std::string line;
   std::size_t sends = 0, answers = 0;
   while (std::getline(lines, line)) {
     const json reply = json::parse(line);
-    for (const json& c : reply["cmds"]) {
-      sends += c.contains("SubmitTo");
-      answers += c.contains("FinishError") || c.contains("Decline");
+    for (const json& command : reply["cmds"]) {
+      sends += command.contains("SubmitTo");
+      answers += command.contains("FinishError") || command.contains("Decline");
     }
   }
-  EXPECT_EQ(sends, 300u) << r.err;
-  EXPECT_EQ(answers, 0u);  // the messages of the earlier life are not this life's to answer
+  EXPECT_EQ(sends, 300u) << result.errors;
+  EXPECT_EQ(answers, 0u);  // the messages of the previous incarnation are not this one's to answer
 }
 
 }  // namespace
