--- /dev/null
+++ b/tests/support/listener.h
@@ -0,0 +1,83 @@
+// Listening sockets on ephemeral loopback ports.
+#pragma once
+
+#include <arpa/inet.h>
+#include <gtest/gtest.h>
+#include <netinet/in.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+namespace delivery::loopback {
+
+inline sockaddr_in loopbackAddress(int port) {
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(static_cast<std::uint16_t>(port));
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  return address;
+}
+
+// Listens and accepts nothing itself.
+struct Listener {
+  Listener() {
+    fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    sockaddr_in address = loopbackAddress(0);
+    EXPECT_EQ(0, ::bind(fd, reinterpret_cast<sockaddr*>(&address), sizeof address));
+    EXPECT_EQ(0, ::listen(fd, 64));
+    socklen_t size = sizeof address;
+    ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
+    port = ntohs(address.sin_port);
+  }
+  ~Listener() { close(); }
+  Listener(const Listener&) = delete;
+  Listener& operator=(const Listener&) = delete;
+
+  void close() {
+    if (fd >= 0)
+      ::close(fd);
+    fd = -1;
+  }
+  std::string address() const { return "127.0.0.1:" + std::to_string(port); }
+
+  int fd = -1;
+  int port = 0;
+};
+
+// Its backlog is full: no connection to it comes up.
+class StuckListener {
+ public:
+  StuckListener() {
+    EXPECT_EQ(0, ::listen(listener_.fd, 0));
+    for (int i = 0; i < kConnectionsThatFillTheBacklog; ++i) {
+      fds_.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+      const sockaddr_in address = loopbackAddress(listener_.port);
+      // Neither success nor failure is of interest: it only has to fill the backlog.
+      (void)::connect(fds_.back(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
+    }
+  }
+  ~StuckListener() {
+    for (const int fd : fds_)
+      ::close(fd);
+  }
+  StuckListener(const StuckListener&) = delete;
+  StuckListener& operator=(const StuckListener&) = delete;
+
+  std::string address() const { return listener_.address(); }
+
+ private:
+  static constexpr int kConnectionsThatFillTheBacklog = 8;
+
+  Listener listener_;
+  std::vector<int> fds_;
+};
+
+// An address that nothing listens at.
+inline std::string closedAddress() {
+  return Listener().address();
+}
+
+}  // namespace delivery::loopback
