--- a/tests/storage/journal_compatibility_test.cpp
+++ b/tests/storage/journal_compatibility_test.cpp
@@ -3,8 +3,14 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <cctype>
 #include <filesystem>
 #include <fstream>
+#include <iterator>
+#include <sstream>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "storage/journal.h"
 #include "support/journal_dump.h"
@@ -19,105 +25,113 @@
 const std::string kFolder = std::string(TEST_DATA_DIR) + "/journal";
 
 std::string readFile(const std::string& path) {
-  std::ifstream f(path, std::ios::binary);
-  EXPECT_TRUE(f) << path;
-  return {std::istreambuf_iterator<char>(f), {}};
+  std::ifstream file(path, std::ios::binary);
+  EXPECT_TRUE(file) << path;
+  return {std::istreambuf_iterator<char>(file), {}};
 }
 
 // A recorded reading: FILE.CASE.expected, of FILE.journal, at the clocks that its first three lines state.
-struct Recorded {
-  std::string name, journal;
-  ClockReadings at;
-  std::string file, open;  // the parts of the text: of the file as such, and of what it leaves open
+struct ExpectedReading {
+  std::string name;
+  std::string journal_path;
+  ClockReadings read_at;
+  std::string file_text;  // of the file as such
+  std::string open_text;  // of what it leaves open
 };
 
-Recorded recorded(const fs::path& path) {
-  Recorded r;
-  r.name = path.filename().string();
-  r.journal = kFolder + "/" + r.name.substr(0, r.name.find('.')) + ".journal";
+// The rest of the next line, which has to begin with `prefix`.
+std::string readPrefixedLine(std::istream& in, const std::string& prefix) {
+  std::string line;
+  std::getline(in, line);
+  EXPECT_EQ(0u, line.find(prefix)) << line;
+  return line.substr(std::min(prefix.size(), line.size()));
+}
+
+ExpectedReading loadExpectedReading(const fs::path& path) {
+  ExpectedReading expected;
+  expected.name = path.filename().string();
+  expected.journal_path = kFolder + "/" + expected.name.substr(0, expected.name.find('.')) + ".journal";
   std::istringstream in(readFile(path.string()));
-  const auto stated = [&](const std::string& what) {
-    std::string line;
-    std::getline(in, line);
-    EXPECT_EQ(0u, line.find(what)) << r.name;
-    return line.substr(std::min(what.size(), line.size()));
-  };
-  r.at.monotonic = std::stoll(stated("read at monotonic us: "));
-  r.at.unix = std::stoll(stated("read at Unix us: "));
-  r.at.boot = stated("read in boot: ");
-  bool open = false;
+  expected.read_at.monotonic = std::stoll(readPrefixedLine(in, "read at monotonic us: "));
+  expected.read_at.unix = std::stoll(readPrefixedLine(in, "read at Unix us: "));
+  expected.read_at.boot = readPrefixedLine(in, "read in boot: ");
+  std::string* section = &expected.file_text;
   for (std::string line; std::getline(in, line);) {
-    open = open || line.rfind("accepted messages still open: ", 0) == 0;
-    (open ? r.open : r.file) += line + "\n";
+    if (line.rfind("accepted messages still open: ", 0) == 0)
+      section = &expected.open_text;
+    *section += line + "\n";
   }
-  EXPECT_FALSE(r.file.empty() || r.open.empty()) << r.name;
-  return r;
+  EXPECT_FALSE(expected.file_text.empty() || expected.open_text.empty()) << expected.name;
+  return expected;
 }
 
-std::vector<std::string> names(const char* extension) {
-  std::vector<std::string> out;
-  for (const auto& f : fs::directory_iterator(kFolder))
-    if (f.path().extension() == extension)
-      out.push_back(f.path().filename().string());
-  std::sort(out.begin(), out.end());
-  return out;
+std::vector<std::string> fileNames(const char* extension) {
+  std::vector<std::string> names;
+  for (const auto& file : fs::directory_iterator(kFolder))
+    if (file.path().extension() == extension)
+      names.push_back(file.path().filename().string());
+  std::sort(names.begin(), names.end());
+  return names;
 }
 
 class RecordedJournal : public testing::TestWithParam<std::string> {};
 class RewrittenJournal : public testing::TestWithParam<std::string> {};
 
 TEST_P(RecordedJournal, IsReadAsItWas) {
-  const Recorded r = recorded(kFolder + "/" + GetParam());
-  const std::string data = readFile(r.journal);
-  const RecoveredJournal reading = readJournal(data, r.at);
-  EXPECT_EQ(r.file, journal_dump::fileText(reading));
-  EXPECT_EQ(r.open, journal_dump::openText(reading));
+  const ExpectedReading expected = loadExpectedReading(kFolder + "/" + GetParam());
+  const std::string data = readFile(expected.journal_path);
+  const RecoveredJournal journal = readJournal(data, expected.read_at);
+  EXPECT_EQ(expected.file_text, journal_dump::fileText(journal));
+  EXPECT_EQ(expected.open_text, journal_dump::openText(journal));
 }
 
-// Opened for good, which may write it anew; what it then left is opened once more.
+// Opened for writing, which may compact it; what that left is opened once more.
 TEST_P(RecordedJournal, IsRecoveredAsItWas) {
-  const Recorded r = recorded(kFolder + "/" + GetParam());
-  TempFolder folder;
-  fs::copy_file(r.journal, folder.path() + "/journal");
-  for (const char* time : {"first", "second"}) {
-    Journal j(folder.path(), {3'000'000}, r.at);
-    const Journal::Recovered& found = j.recovered();
-    EXPECT_EQ(r.open, journal_dump::openText(found.entries, found.endpoint_list, found.health_records))
-        << time << " opening";
-    const bool damaged = r.file.find("\ncounts as damaged: yes\n") != std::string::npos;
-    EXPECT_EQ(damaged && time == std::string("first"), found.damaged) << time << " opening";
+  const ExpectedReading expected = loadExpectedReading(kFolder + "/" + GetParam());
+  const bool counts_as_damaged = expected.file_text.find("\ncounts as damaged: yes\n") != std::string::npos;
+  const TempFolder folder;
+  fs::copy_file(expected.journal_path, folder.path() + "/journal");
+  for (const bool first_opening : {true, false}) {
+    SCOPED_TRACE(first_opening ? "first opening" : "second opening");
+    const Journal journal(folder.path(), {3'000'000}, expected.read_at);
+    const Journal::Recovered& recovered = journal.recovered();
+    EXPECT_EQ(expected.open_text,
+              journal_dump::openText(recovered.entries, recovered.endpoint_list, recovered.health_records));
+    EXPECT_EQ(counts_as_damaged && first_opening, recovered.damaged);
   }
 }
 
 // What the opening leaves, byte for byte, so that a sender can go back to the version before.
 TEST_P(RewrittenJournal, IsTheSame) {
-  const Recorded r = recorded(kFolder + "/" + fs::path(GetParam()).replace_extension(".expected").string());
-  TempFolder folder;
-  fs::copy_file(r.journal, folder.path() + "/journal");
-  { Journal j(folder.path(), {3'000'000}, r.at); }
+  const std::string expected_name = fs::path(GetParam()).replace_extension(".expected").string();
+  const ExpectedReading expected = loadExpectedReading(kFolder + "/" + expected_name);
+  const TempFolder folder;
+  fs::copy_file(expected.journal_path, folder.path() + "/journal");
+  { const Journal journal(folder.path(), {3'000'000}, expected.read_at); }
   EXPECT_TRUE(readFile(kFolder + "/" + GetParam()) == readFile(folder.path() + "/journal"));
 }
 
 std::string testName(const testing::TestParamInfo<std::string>& file) {
   std::string name;
   for (const char c : file.param.substr(0, file.param.rfind('.')))
-    name += std::isalnum(c) ? c : '_';
+    name += std::isalnum(static_cast<unsigned char>(c)) != 0 ? c : '_';
   return name;
 }
-INSTANTIATE_TEST_SUITE_P(All, RecordedJournal, testing::ValuesIn(names(".expected")), testName);
-INSTANTIATE_TEST_SUITE_P(All, RewrittenJournal, testing::ValuesIn(names(".rewritten")), testName);
+INSTANTIATE_TEST_SUITE_P(All, RecordedJournal, testing::ValuesIn(fileNames(".expected")), testName);
+INSTANTIATE_TEST_SUITE_P(All, RewrittenJournal, testing::ValuesIn(fileNames(".rewritten")), testName);
 
 // So that a file that is lost is missed.
 TEST(RecordedJournals, AreAllThere) {
-  std::vector<std::string> there, listed;
+  std::vector<std::string> found;
   for (const char* extension : {".expected", ".journal", ".rewritten"})
-    for (std::string& name : names(extension))
-      there.push_back(std::move(name));
+    for (std::string& name : fileNames(extension))
+      found.push_back(std::move(name));
+  std::vector<std::string> listed;
   std::istringstream lines(readFile(kFolder + "/FILES"));
   for (std::string line; std::getline(lines, line);)
     listed.push_back(line);
-  EXPECT_EQ(listed, there);
-  EXPECT_FALSE(there.empty());
+  EXPECT_EQ(listed, found);
+  EXPECT_FALSE(found.empty());
 }
 
 }  // namespace
