--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -450,10 +450,10 @@
     if (!a.endpoint.empty() && s == servers.end()) return;
     Guard& g = a.endpoint.empty() ? dests[a.destination].guard : s->second.guard;
     dests[a.destination].id = a.destination;
-    g.down = a.down;
+    g.down = a.ejected;
     g.cold_since = g.noted = a.warming_since;
     g.wait_until = std::max(g.wait_until, a.retry_after_until);
-    if (a.down) g.streak = std::max(g.streak, 1);
+    if (a.ejected) g.streak = std::max(g.streak, 1);
   }
 
   int laneSlots() const { return std::max(1, static_cast<int>(kLaneShare * set.call_slots)); }
--- a/src/storage/record_codec.cpp
+++ b/src/storage/record_codec.cpp
@@ -134,7 +134,7 @@
     return PayloadWriter(RecordType::health)
         .text(health.endpoint)
         .integer(health.destination)
-        .boolean(health.down)
+        .boolean(health.ejected)
         .integer(clock_.toStored(health.warming_since))
         .integer(clock_.toStored(health.retry_after_until))
         .take();
@@ -190,7 +190,7 @@
   HealthRecord& health = record.health;
   health.endpoint = reader.text();
   health.destination = reader.integer();
-  health.down = reader.boolean();
+  health.ejected = reader.boolean();
   health.warming_since = clock.fromStored(reader.integer());
   health.retry_after_until = clock.fromStored(reader.hasMore() ? reader.integer() : 0);
   return record;
--- a/tests/decision/restart_test.cpp
+++ b/tests/decision/restart_test.cpp
@@ -112,7 +112,7 @@
     }
   }
   ASSERT_FALSE(kept.empty());
-  EXPECT_TRUE(kept.back().down);
+  EXPECT_TRUE(kept.back().ejected);
   EXPECT_EQ(1, kept.back().destination);
   auto sends = [&](bool told) {
     Rig next;
--- a/tests/storage/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -76,7 +76,7 @@
   EXPECT_EQ("e2", second.attempts[1].endpoint);
   EXPECT_EQ(66, second.attempts[1].sent_at);
   ASSERT_EQ(1u, recovered.health_records.size());  // the latest of a destination
-  EXPECT_TRUE(recovered.health_records[0].down);
+  EXPECT_TRUE(recovered.health_records[0].ejected);
   EXPECT_EQ(99, recovered.health_records[0].warming_since);
   EXPECT_EQ(123, recovered.health_records[0].retry_after_until);
   EXPECT_EQ("{\"index\":4}", recovered.endpoint_list);
--- a/tests/storage/record_codec_test.cpp
+++ b/tests/storage/record_codec_test.cpp
@@ -59,7 +59,7 @@
   const HealthRecord health = roundTrip(HealthStateRecord{{"e1", 7, true, 99, 123}}).health;
   EXPECT_EQ("e1", health.endpoint);
   EXPECT_EQ(7, health.destination);
-  EXPECT_TRUE(health.down);
+  EXPECT_TRUE(health.ejected);
   EXPECT_EQ(99, health.warming_since);
   EXPECT_EQ(123, health.retry_after_until);
 }
--- a/tests/support/journal_dump.h
+++ b/tests/support/journal_dump.h
@@ -64,7 +64,7 @@
   out << "health records: " << health.size() << '\n';
   for (const HealthRecord& a : health)
     out << "health record of destination " << a.destination << " endpoint " << quoted(a.endpoint)
-        << ": down: " << yesNo(a.down) << ", cold since monotonic us " << a.warming_since
+        << ": down: " << yesNo(a.ejected) << ", cold since monotonic us " << a.warming_since
         << ", wait until monotonic us " << a.retry_after_until << '\n';
   return out.str();
 }
