--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -1,100 +1,176 @@
-// What the decision module remembers. No decision stands here.
+// What the parts of the decision module share: a turn's context, endpoints, destinations and messages.
 #pragma once
 
-#include <cstdint>
+#include <algorithm>
 #include <deque>
-#include <string>
-#include <vector>
+#include <map>
+#include <random>
+#include <set>
+#include <tuple>
 
-#include "decision/scheduler.h"
+#include "common/actions.h"
+#include "common/decayed_rate.h"
+#include "common/find.h"
+#include "common/settings.h"
 
 namespace delivery {
 
-constexpr double kSecond = 1e6;
+constexpr double kMicrosPerSecond = 1e6;
 constexpr Micros kNever = INT64_MAX / 4;
+constexpr double kRareShare = 0.05;  // a sender with less of a destination's traffic is one of many
 
-struct Tag {
-  double local = 0, global = 0;
+struct Turn {  // settings, clock, random source and the actions so far
+  Settings settings;
+  std::mt19937_64 random;
+  Micros now = 0, next_wake = kNever;
+  std::vector<Action> actions;
+  double overload_micros = std::max<Micros>(1, settings.overload_window);
+  double warm_up_seconds = std::max<Micros>(1, settings.slow_start_time) / kMicrosPerSecond;
+  double tightest_objective = 1e300;  // the shortest latency objective of all classes, in microseconds
+
+  Turn(Settings given, std::uint64_t seed) : settings(std::move(given)), random(seed) {
+    for (const MessageClass& each : settings.classes)
+      tightest_objective = std::min<double>(tightest_objective, each.latency_objective);
+  }
+  void wakeAt(Micros when) {
+    if (when > now) next_wake = std::min(next_wake, when);
+  }
+  bool isOneOfMany() const { return kRareShare * settings.sender_count > 1; }
+  // Corrected for the part of the span that was not observed yet; to one of many a few events are no rate.
+  double perSecond(const DecayedRate& rate) const {
+    const Micros observed = std::max(now - rate.first_event, settings.overload_window + 1);
+    return rate.at(now, warm_up_seconds) / (isOneOfMany() ? 1 : 1 - decayOver(observed, warm_up_seconds));
+  }
+  void count(DecayedRate& rate) const { rate.count(now, warm_up_seconds); }
+};
+
+struct RateLimit {
+  double limit = 0;                  // calls a second of all senders; 0: none known
+  bool limit_is_advertised = false;  // by the destination's load reports
+  bool limit_is_learned = false;     // from throttled calls, for this sender alone
+  double quota_fraction = 1;         // of the limit, for this sender
+  Micros quota_updated_at = 0, last_decrease = -kNever;
+  double next_send_tag = 0;  // RePAIR's upper-bound tag: no call before this moment
+  Micros retry_after_until = 0;
+  DecayedRate served;  // own calls that were not throttled
 };
 
-struct Rate {  // events a second, decayed, as of a moment
-  double rate = 0;
-  Micros at = 0, since = -1;
+struct HealthStats {
+  double usual_latency = 0, relative_latency = 1;  // microseconds; recent latency over the usual one
+  int latency_samples = 0;
+  double failure_share = 0, unknown_share = 0;  // of the latest outcomes; unknown: it may have run
+  int consecutive_failures = 0, consecutive_throttles = 0;
+  Micros last_success = -kNever, first_failure = kNever;  // first_failure: since the last success
+  Micros last_outcome = -kNever;
+  bool ejected = false;
+  Micros warming_since = -kNever, last_persisted = -kNever;  // last_persisted: warming_since at that time
+  int overdue_calls = 0;                                     // with no success since they were sent
 };
 
-struct Guard {       // upper bound and health of a destination, a route, or one endpoint of a destination
-  double limit = 0;  // calls a second from all senders, told or listed; 0: none known
-  bool told = false;
-  bool learned = false;  // the limit is a guess from refusals, and of this sender's calls alone
-  double part = 1;       // of the limit that this sender takes
-  Micros part_at = 0, cut_at = -kNever;
-  double u = 0;                  // the paper's upper-bound tag
-  Micros wait_until = 0;         // told to wait
-  Rate served;                   // own calls that were not refused
-  double usual = 0, recent = 1;  // latency in micros; recent one over usual
-  int samples = 0;
-  double failed = 0, risk = 0;  // shares of late outcomes: failed, ended in the unknown
-  int streak = 0, refused = 0;  // failures, refusals since the last success
-  Micros last_ok = -kNever, first_bad = kNever, last_end = -kNever;
-  bool down = false;
-  Micros noted = -kNever;       // cold_since as last given to the host to keep
-  Micros cold_since = -kNever;  // the latest moment at which it was not known to be back
-  int overdue = 0;              // calls out far too long, with none answered since they left
+struct TrafficScope {  // kept for each destination and each endpoint
+  RateLimit rate;
+  HealthStats health;
 };
 
 struct Destination;
 struct Endpoint {
-  std::string id, zone;
-  Destination* dest = nullptr;
+  EndpointInfo info;  // as last listed
+  Destination* destination = nullptr;
   const DestinationKind* kind = nullptr;
-  EndpointState state = EndpointState::removed;
-  double weight = 0;
-  int out = 0;  // calls out
-  Micros used = -kNever;
-  Micros no_connect = -kNever;  // the last connect that failed
-  std::deque<Micros> idle;      // since when each connection of this sender idles, oldest first
-  Guard guard;
+  int calls_in_flight = 0;
+  Micros last_used = -kNever, last_connect_failure = -kNever;
+  std::deque<Micros> idle_connections;  // since when each idles, oldest first
+  std::uint64_t forming_call = 0;       // of this turn
+  int forming_room = 0;                 // for further messages in that call
+  TrafficScope own;
+
+  bool isReady() const { return info.state == EndpointState::ready; }
+  bool hasOwnRoute() const { return kind->independent_routes; }
+  TrafficScope& scope();  // where its limit and its outages are decided
+};
+
+struct Tag {  // RePAIR, section 3.1
+  double local = 0, global = 0;
 };
 
 struct Message;
 struct Destination {
   std::int64_t id = 0;
-  std::vector<Endpoint*> servers;
+  std::vector<Endpoint*> endpoints;
   std::vector<Message*> held;
-  std::deque<Tag> tags;  // one for each held message; the one that is worth most takes the first
-  double last_local = -1e18, last_global = -1e18;  // l_prev, g_prev
-  double period = 1;                               // 1/M
-  Rate traffic;                                    // own messages
-  Micros lost_idle = -1;        // a call was lost on a connection that had idled so long, none answered since
+  std::deque<Tag> tags;  // one for each held message; the most valuable message takes the first
+  Tag last_tag{-1e18, -1e18};
+  double reservation_period = 1;  // 1/M, in microseconds
+  DecayedRate traffic;            // own messages
+  Micros lost_after_idle = -1;  // a call was lost on a connection that had idled so long, none answered since
   Micros blocked_at = -kNever;  // the turn in which nothing could leave
-  Guard guard;
+  TrafficScope shared;
+
+  double readyEndpoints() const {  // one at least, to divide by
+    const auto is_ready = [](const Endpoint* each) { return each->isReady(); };
+    return std::max<double>(1, std::count_if(endpoints.begin(), endpoints.end(), is_ready));
+  }
 };
 
+inline TrafficScope& Endpoint::scope() { return hasOwnRoute() ? own : destination->shared; }
+
 struct Attempt {
-  Endpoint* server = nullptr;
-  Micros sent = 0;
+  Endpoint* endpoint = nullptr;
+  Micros sent_at = 0;
   std::uint64_t call = 0, order = 0;
-  bool out = true, may_have_run = true;
-  Micros idled = -1;  // how long its connection had idled; -1: a fresh one
-  bool late = false;  // counted as overdue
-  bool called_off = false;
+  bool in_flight = true, may_have_run = true;
+  Micros connection_idled = -1;  // -1: a fresh connection
+  bool overdue = false, cancel_requested = false;
 };
 
 struct Message {
-  std::string id, key;
-  const MessageClass* cls = nullptr;
-  int tenant = -1;
-  Destination* dest = nullptr;
-  Micros came = 0, handed_in = 0, end_at = 0, not_before = 0, aim = 0;
+  std::string id, order_key;
+  const MessageClass* rules = nullptr;
+  const Tenant* tenant = nullptr;
+  Destination* destination = nullptr;
+  Micros arrived_at = 0, submitted_at = 0, expires_at = 0, not_before = 0, latency_objective = 0;
   std::uint64_t order = 0;
   std::vector<Attempt> attempts;
-  bool held = false, ended = false, resumed = false;
-  int out = 0;
+  bool held = false, ended = false, recovered = false;
+  int attempts_in_flight = 0;
+
+  bool mayHaveRun() const {
+    return std::any_of(attempts.begin(), attempts.end(), [](auto& each) { return each.may_have_run; });
+  }
+  bool isOwedAttempt() const { return recovered && attempts.empty(); }  // it has waited longest
+};
+
+struct AttemptRef {
+  Message* message = nullptr;
+  std::size_t index = 0;
+  Attempt& attempt() const { return message->attempts[index]; }
 };
 
-struct KeyLine {
-  std::deque<Message*> line;
-  Micros quiet_until = 0;
+struct InFlightCalls {  // a call takes one slot and may carry several messages, each with its own attempt
+  const Turn& turn;
+  std::map<std::uint64_t, AttemptRef> attempts{};  // the oldest first
+  std::map<std::uint64_t, int> attempts_in_call{};
+  std::uint64_t last_call = 0, last_attempt = 0;
+
+  bool allSlotsUsed() const { return static_cast<int>(attempts_in_call.size()) >= turn.settings.call_slots; }
+
+  void add(Message& message, Attempt attempt) {
+    attempt.order = ++last_attempt;
+    message.attempts.push_back(attempt);
+    if (!attempt.in_flight) return;
+    attempts[attempt.order] = {&message, message.attempts.size() - 1};
+    ++message.attempts_in_flight;
+    if (++attempts_in_call[attempt.call] == 1) ++attempt.endpoint->calls_in_flight;
+  }
+
+  void remove(Message& message, Attempt& attempt) {
+    attempt.in_flight = false;
+    --message.attempts_in_flight;
+    attempts.erase(attempt.order);
+    if (--attempts_in_call[attempt.call] > 0) return;
+    attempts_in_call.erase(attempt.call);
+    --attempt.endpoint->calls_in_flight;
+  }
 };
 
 }  // namespace delivery
