--- a/tests/decision/bound_test.cpp
+++ b/tests/decision/bound_test.cpp
@@ -8,87 +8,88 @@
 
 namespace {
 
-TEST(Bound, ToldToWaitNothingGoesBeforeTheWaitIsOver) {
-  Rig r;
-  r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
-  r.arrive("m1", "safe", 1);
-  r.at(100 * kMs).end("m1", 0, AttemptResult::throttled, 10 * kMs, 700 * kMs);
-  EXPECT_TRUE(r.at(200 * kMs).arrive("m2", "safe", 1).empty());
-  EXPECT_TRUE(r.at(790 * kMs).wake().empty());
+TEST(Bound, NothingIsSentBeforeRetryAfterHasPassed) {
+  SchedulerDriver driver;
+  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
+  driver.arrive("m1", "safe", 1);
+  driver.at(100 * kMillisecond).end("m1", 0, AttemptResult::throttled, 10 * kMillisecond, 700 * kMillisecond);
+  EXPECT_TRUE(driver.at(200 * kMillisecond).arrive("m2", "safe", 1).empty());
+  EXPECT_TRUE(driver.at(790 * kMillisecond).wake().empty());
   Ids later;
   for (int i = 0; i < 100; ++i)
-    for (const auto& id : r.at(800 * kMs + i * 50 * kMs).wake())
+    for (const auto& id : driver.at(800 * kMillisecond + 50 * kMillisecond * i).wake())
       later.push_back(id);
   EXPECT_EQ(later.size(), 2u);
 }
 
 // The fail-back rule: after an outage what this sender sends within FallMs stays inside cold share x factor x
 // its even part of the limit, however much is held.
-TEST(Bound, BudgetOfAReturningDestination) {
-  Settings s = makeSettings();
-  s.sender_count = 2;
-  s.call_slots = 50;
-  s.weight_kind = WeightKind::nominal;
-  s.classes[0].deadline = 100 * kS;
-  Rig r(s);
-  r.list({makeEndpoint("e1", 1, "shared", 20)});  // 20 calls a second from all senders
+TEST(Bound, RecoveryRampOfAReturningDestination) {
+  Settings settings = makeSettings();
+  settings.sender_count = 2;
+  settings.call_slots = 50;
+  settings.weight_kind = WeightKind::nominal;
+  settings.classes[0].deadline = 100 * kSecond;
+  SchedulerDriver driver(settings);
+  driver.list({makeEndpoint("e1", 1, "shared", 20)});  // 20 calls a second from all senders
   for (int i = 0; i < 60; ++i)
-    r.arrive("m" + std::to_string(i), "safe", 1);
+    driver.arrive("m" + std::to_string(i), "safe", 1);
   std::map<std::string, int> tries;
   std::vector<Micros> sent_at;
   std::vector<std::string> out;
-  for (auto& [id, e] : r.where)
+  for (auto& [id, e] : driver.sent_to)
     out.push_back(id);
-  const Micros back = 8 * kS;
-  for (Micros t = 100 * kMs; t < 40 * kS; t += 20 * kMs) {
+  const Micros back = 8 * kSecond;
+  for (Micros t = 100 * kMillisecond; t < 40 * kSecond; t += 20 * kMillisecond) {
     std::vector<Event> events{TimerFired{}};
-    r.at(t);
+    driver.at(t);
     for (const auto& id : out)
-      events.push_back(
-          r.outcome(id, tries[id]++, t < back ? AttemptResult::connect_failed : AttemptResult::ok, 20 * kMs));
-    out = r.run(events);
+      events.emplace_back(driver.outcome(
+          id, tries[id]++, t < back ? AttemptResult::connect_failed : AttemptResult::ok, 20 * kMillisecond));
+    out = driver.run(events);
     for (std::size_t i = 0; i < out.size(); ++i)
       if (t >= back)
         sent_at.push_back(t);
   }
   ASSERT_GT(sent_at.size(), 20u);
   // Within the first span after the return, and one trial more for chance.
-  const auto early =
-      std::count_if(sent_at.begin(), sent_at.end(), [&](Micros t) { return t < back + s.overload_window; });
+  const auto early = std::count_if(sent_at.begin(), sent_at.end(),
+                                   [&](Micros t) { return t < back + settings.overload_window; });
   EXPECT_LE(early, 1 + 20 * 0.5 * 1.5 * (0.3 + 0.7 * 0.2) * 2);
   EXPECT_GE(early, 4);
 }
 
 // Hands in all, then answers each call 50 ms after it began; the calls started in so many steps of 50 ms.
-std::size_t startsWhenAnswered(Rig& r, const std::vector<Event>& all, int steps,
+std::size_t startsWhenAnswered(SchedulerDriver& driver, const std::vector<Event>& all, int steps,
                                std::map<std::string, int> tries) {
-  Ids out = r.run(all);
+  Ids out = driver.run(all);
   std::size_t n = out.size();
   for (int i = 0; i < steps; ++i) {
     std::vector<Event> events{TimerFired{}};
-    r.at(r.now + 50 * kMs);
+    driver.at(driver.now + 50 * kMillisecond);
     for (const auto& id : out)
-      events.emplace_back(r.outcome(id, tries[id]++, AttemptResult::ok, 50 * kMs));
-    out = r.run(events);
+      events.emplace_back(driver.outcome(id, tries[id]++, AttemptResult::ok, 50 * kMillisecond));
+    out = driver.run(events);
     n += out.size();
   }
   return n;
 }
 
 // A refusal that told no wait cuts this sender's part: the next calls come further apart.
-TEST(Bound, RefusalsCutThisSendersPart) {
-  Settings s = makeSettings();
-  s.call_slots = 50;
-  s.weight_kind = WeightKind::nominal;
+TEST(Bound, ThrottledCallsDecreaseTheQuotaFraction) {
+  Settings settings = makeSettings();
+  settings.call_slots = 50;
+  settings.weight_kind = WeightKind::nominal;
   auto count = [&](bool refused) {
-    Rig r(s);
-    r.list({makeEndpoint("e1", 1, "shared", 10)});
-    r.arrive("x", "safe", 1);
-    r.at(100 * kMs).end("x", 0, refused ? AttemptResult::throttled : AttemptResult::ok);
+    SchedulerDriver driver(settings);
+    driver.list({makeEndpoint("e1", 1, "shared", 10)});
+    driver.arrive("x", "safe", 1);
+    driver.at(100 * kMillisecond).end("x", 0, refused ? AttemptResult::throttled : AttemptResult::ok);
     std::vector<Event> all;
+    all.reserve(100);
     for (int i = 0; i < 100; ++i)
-      all.emplace_back(r.arrival("m" + std::to_string(i), "safe", 1));
-    return startsWhenAnswered(r, all, 40, {{"x", 1}});
+      all.emplace_back(driver.arrival("m" + std::to_string(i), "safe", 1));
+    return startsWhenAnswered(driver, all, 40, {{"x", 1}});
   };
   EXPECT_LT(count(true), count(false));
 }
@@ -96,50 +97,53 @@
 // A destination that takes all it is sent but for a moment, in which it refuses; ten messages a second.
 // Answers how many seconds' worth of them wait a few seconds later.
 double backlogAfterRefusals(Micros from, Micros until) {
-  Settings s = makeSettings();
-  s.sender_count = 2;
-  s.call_slots = 50;
-  Rig r(s);
-  r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
+  Settings settings = makeSettings();
+  settings.sender_count = 2;
+  settings.call_slots = 50;
+  SchedulerDriver driver(settings);
+  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   std::map<std::string, int> tries;
   std::vector<std::string> out;
   std::size_t arrived = 0, served = 0;
-  for (Micros t = 0; t < until + 5 * kS; t += 50 * kMs) {
+  for (Micros t = 0; t < until + 5 * kSecond; t += 50 * kMillisecond) {
     std::vector<Event> events;
-    r.at(t);
+    events.reserve(out.size() + 2);
+    driver.at(t);
     const bool refuses = t >= from && t < until;
     for (const auto& id : out)
-      events.push_back(r.outcome(id, tries[id]++, refuses ? AttemptResult::throttled : AttemptResult::ok));
+      events.emplace_back(
+          driver.outcome(id, tries[id]++, refuses ? AttemptResult::throttled : AttemptResult::ok));
     if (!refuses)
       served += out.size();
-    if (t % (100 * kMs) == 0)
-      events.push_back(r.arrival("m" + std::to_string(arrived++), "safe", 1));
-    events.push_back(TimerFired{});
-    out = r.run(events);
+    if (t % (100 * kMillisecond) == 0)
+      events.emplace_back(driver.arrival("m" + std::to_string(arrived++), "safe", 1));
+    events.emplace_back(TimerFired{});
+    out = driver.run(events);
   }
   return static_cast<double>(arrived - served) / 10;
 }
 
 // ticket4185: rates counted from nothing, so a refusal in the first seconds set a limit far below what had
 // just been served, and it regained a twentieth of a portion in FallMs: hundreds waited with most slots free.
-TEST(Bound, ALearnedLimitIsWhatWasServedAlsoInTheFirstSeconds) {
-  EXPECT_LT(backlogAfterRefusals(2 * kS, 2 * kS + 100 * kMs), 0.5);
+TEST(Bound, LearnedLimitIsTheServedRateAlsoInTheFirstSeconds) {
+  EXPECT_LT(backlogAfterRefusals(2 * kSecond, 2 * kSecond + 100 * kMillisecond), 0.5);
 }
-TEST(Bound, ALearnedLimitIsRegainedAfterManyRefusals) {
-  EXPECT_LT(backlogAfterRefusals(15 * kS, 15 * kS + 900 * kMs), 0.5);
+TEST(Bound, LearnedLimitRecoversAfterManyThrottledCalls) {
+  EXPECT_LT(backlogAfterRefusals(15 * kSecond, 15 * kSecond + 900 * kMillisecond), 0.5);
 }
 
 // "Floor plus every spare slot" (an objection to the design): a told limit caps due local tags as well.
-TEST(Bound, AToldLimitCapsFloorAndSpareSlots) {
-  Settings s = makeSettings();
-  s.call_slots = 100;
-  s.weight_kind = WeightKind::nominal;
-  Rig r(s);
-  r.list({makeEndpoint("e1", 1, "shared", 4)});
+TEST(Bound, AdvertisedLimitCapsReservedAndSpareSlots) {
+  Settings settings = makeSettings();
+  settings.call_slots = 100;
+  settings.weight_kind = WeightKind::nominal;
+  SchedulerDriver driver(settings);
+  driver.list({makeEndpoint("e1", 1, "shared", 4)});
   std::vector<Event> all;
+  all.reserve(100);
   for (int i = 0; i < 100; ++i)
-    all.emplace_back(r.arrival("m" + std::to_string(i), "safe", 1));
-  const std::size_t n = startsWhenAnswered(r, all, 60, {});
+    all.emplace_back(driver.arrival("m" + std::to_string(i), "safe", 1));
+  const std::size_t n = startsWhenAnswered(driver, all, 60, {});
   EXPECT_GE(n, 12u);
   EXPECT_LE(n, 16u);  // 4 a second for 3 s, and half a second's burst
 }
@@ -147,114 +151,115 @@
 // fresh-big of budapest-kozpont-later: the first tries of rare senders passed all pacing of a destination
 // that they had seen fail; together they pushed it over when it came back. While it is down they are paced
 // too.
-TEST(Bound, FirstTriesOfARareSenderArePacedWhileADestinationIsDown) {
-  Settings s = makeSettings();
-  s.sender_count = 200;
-  s.weight_kind = WeightKind::nominal;
-  Rig r(s);
-  r.list({makeEndpoint("e1", 1, "shared", 10)});
-  r.arrive("m1", "safe", 1);
-  r.at(kS).end("m1", 0, AttemptResult::timeout, kS);
+TEST(Bound, FirstAttemptsOfARareSenderArePacedWhileADestinationIsEjected) {
+  Settings settings = makeSettings();
+  settings.sender_count = 200;
+  settings.weight_kind = WeightKind::nominal;
+  SchedulerDriver driver(settings);
+  driver.list({makeEndpoint("e1", 1, "shared", 10)});
+  driver.arrive("m1", "safe", 1);
+  driver.at(kSecond).end("m1", 0, AttemptResult::timeout, kSecond);
   std::size_t n = 0;
   for (int i = 0; i < 10; ++i)
-    n += r.at(r.now + 200 * kMs).arrive("x" + std::to_string(i), "safe", 1).size();
+    n += driver.at(driver.now + 200 * kMillisecond).arrive("x" + std::to_string(i), "safe", 1).size();
   EXPECT_LE(n, 1u);  // a trial at most
 }
 
 // Calls that passed the pacing must leave no debt: their tags ran ahead until every pacing outlasted every
 // message, so that all passed.
-TEST(Bound, ACallThatPassedThePacingLeavesNoDebt) {
-  Settings s = makeSettings();
-  s.sender_count = 200;
-  s.weight_kind = WeightKind::nominal;
-  Rig r(s);
-  r.list({makeEndpoint("e1", 1, "shared", 30)});
-  r.arrive("m", "safe", 1);
-  r.at(100 * kMs).end("m", 0, AttemptResult::ok);
-  r.at(kS).arrive("x", "safe", 1);
-  r.at(kS + 100 * kMs).end("x", 0, AttemptResult::throttled);
+TEST(Bound, CallThatPassedThePacingLeavesNoDebt) {
+  Settings settings = makeSettings();
+  settings.sender_count = 200;
+  settings.weight_kind = WeightKind::nominal;
+  SchedulerDriver driver(settings);
+  driver.list({makeEndpoint("e1", 1, "shared", 30)});
+  driver.arrive("m", "safe", 1);
+  driver.at(100 * kMillisecond).end("m", 0, AttemptResult::ok);
+  driver.at(kSecond).arrive("x", "safe", 1);
+  driver.at(kSecond + 100 * kMillisecond).end("x", 0, AttemptResult::throttled);
   for (int i = 0; i < 5; ++i) {
-    Arrival hasty = r.at(r.now + 10 * kMs).arrival("hasty" + std::to_string(i), "safe", 1);
-    hasty.deadline = Deadline::after(r.now, 165 * kMs);
-    const Ids sent = r.run({hasty});
+    Arrival hasty = driver.at(driver.now + 10 * kMillisecond).arrival("hasty" + std::to_string(i), "safe", 1);
+    hasty.deadline = Deadline::after(driver.now, 165 * kMillisecond);
+    const Ids sent = driver.run({hasty});
     ASSERT_EQ(sent.size(), 1u) << i;
-    r.at(r.now + 50 * kMs).end(sent[0], 0, AttemptResult::ok, 50 * kMs);
+    driver.at(driver.now + 50 * kMillisecond).end(sent[0], 0, AttemptResult::ok, 50 * kMillisecond);
   }
-  r.at(r.now + 10 * kMs).arrive("patient", "safe", 1);
+  driver.at(driver.now + 10 * kMillisecond).arrive("patient", "safe", 1);
   Ids sent;
-  const Micros from = r.now;
-  while (sent.empty() && r.now < from + 40 * kS)
-    sent = r.at(r.now + 50 * kMs).wake();
-  EXPECT_LT(r.now - from, 15 * kS);
+  const Micros from = driver.now;
+  while (sent.empty() && driver.now < from + 40 * kSecond)
+    sent = driver.at(driver.now + 50 * kMillisecond).wake();
+  EXPECT_LT(driver.now - from, 15 * kSecond);
 }
 
 // rough-1 of debrecen-kelet-later: clients with little patience; pacing that outlasts a message only loses
 // it.
-TEST(Bound, AFirstTryGoesWhenPacingWouldOutlastTheMessage) {
-  Settings s = makeSettings();
-  s.sender_count = 200;
-  s.weight_kind = WeightKind::nominal;
-  Rig r(s);
-  r.list({makeEndpoint("e1", 1, "shared", 10)});
-  r.arrive("m", "safe", 1);
-  r.at(100 * kMs).end("m", 0, AttemptResult::ok);
-  r.at(kS).arrive("x", "safe", 1);
-  r.at(kS + 100 * kMs).end("x", 0, AttemptResult::throttled);  // no wait told: the next calls are paced
-  r.at(kS + 110 * kMs);
-  Arrival patient = r.arrival("patient", "safe", 1), hasty = r.arrival("hasty", "safe", 1);
-  hasty.deadline = Deadline::after(r.now, 250 * kMs);
-  EXPECT_EQ(r.run({patient, hasty}), Ids{"hasty"});
+TEST(Bound, FirstAttemptPassesAPacingThatWouldOutlastTheMessage) {
+  Settings settings = makeSettings();
+  settings.sender_count = 200;
+  settings.weight_kind = WeightKind::nominal;
+  SchedulerDriver driver(settings);
+  driver.list({makeEndpoint("e1", 1, "shared", 10)});
+  driver.arrive("m", "safe", 1);
+  driver.at(100 * kMillisecond).end("m", 0, AttemptResult::ok);
+  driver.at(kSecond).arrive("x", "safe", 1);
+  driver.at(kSecond + 100 * kMillisecond)
+      .end("x", 0, AttemptResult::throttled);  // no wait told: the next calls are paced
+  driver.at(kSecond + 110 * kMillisecond);
+  Arrival patient = driver.arrival("patient", "safe", 1), hasty = driver.arrival("hasty", "safe", 1);
+  hasty.deadline = Deadline::after(driver.now, 250 * kMillisecond);
+  EXPECT_EQ(driver.run({patient, hasty}), Ids{"hasty"});
 }
 
 // gyor-nyugat-later big-1: told waits of a shut destination end for all at one moment, and it fell over.
-TEST(Bound, SendersThatWereToldALongWaitComeBackSpread) {
-  Settings s = makeSettings();
-  s.sender_count = 200;
+TEST(Bound, SendersReturnSpreadAfterALongRetryAfter) {
+  Settings settings = makeSettings();
+  settings.sender_count = 200;
   std::vector<Micros> back;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Rig r(s, seed);
-    r.list({makeEndpoint("e1", 1)});
-    r.arrive("m", "safe", 1);
-    r.at(50 * kMs).end("m", 0, AttemptResult::throttled, 50 * kMs, 3 * kS);
+    SchedulerDriver driver(settings, seed);
+    driver.list({makeEndpoint("e1", 1)});
+    driver.arrive("m", "safe", 1);
+    driver.at(50 * kMillisecond).end("m", 0, AttemptResult::throttled, 50 * kMillisecond, 3 * kSecond);
     Ids sent;
-    for (Micros t = 100 * kMs; sent.empty() && t < 19 * kS; t += 50 * kMs)
-      sent = r.at(t).wake();
-    EXPECT_GE(r.now, 3 * kS + 50 * kMs);
-    back.push_back(r.now);
+    for (Micros t = 100 * kMillisecond; sent.empty() && t < 19 * kSecond; t += 50 * kMillisecond)
+      sent = driver.at(t).wake();
+    EXPECT_GE(driver.now, 3 * kSecond + 50 * kMillisecond);
+    back.push_back(driver.now);
   }
   std::sort(back.begin(), back.end());
-  EXPECT_GT(back[15] - back[4], s.overload_window / 2);
+  EXPECT_GT(back[15] - back[4], settings.overload_window / 2);
 }
 
 // hf6a5a4: many senders each tried a hanging destination three times before they called it an outage;
 // together the further tries pushed it over when it came back. One of many paces after its first failure.
-TEST(Bound, AmongManySendersOneFailurePacesFurtherTries) {
-  Settings s = makeSettings();
-  s.sender_count = 200;
-  s.weight_kind = WeightKind::nominal;
-  Rig r(s);
-  r.list({makeEndpoint("e1", 1, "shared", 10)});
-  r.arrive("m", "safe", 1);
-  r.at(kS).end("m", 0, AttemptResult::timeout, kS);
+TEST(Bound, OneFailurePacesRetriesOfOneOfManySenders) {
+  Settings settings = makeSettings();
+  settings.sender_count = 200;
+  settings.weight_kind = WeightKind::nominal;
+  SchedulerDriver driver(settings);
+  driver.list({makeEndpoint("e1", 1, "shared", 10)});
+  driver.arrive("m", "safe", 1);
+  driver.at(kSecond).end("m", 0, AttemptResult::timeout, kSecond);
   int tries = 1;
-  while (r.now < 19 * kS)
-    if (!r.at(r.now + 50 * kMs).wake().empty())
-      r.end("m", tries++, AttemptResult::timeout, 50 * kMs);
+  while (driver.now < 19 * kSecond)
+    if (!driver.at(driver.now + 50 * kMillisecond).wake().empty())
+      driver.end("m", tries++, AttemptResult::timeout, 50 * kMillisecond);
   EXPECT_LE(tries, 2);
 }
 
 // h263b28: each of many senders that had seen a hang tried it once more at once, and together they pushed it
 // over when it came back. The first trial is spread as well.
-TEST(Bound, AmongManySendersTheFirstTrialIsSpread) {
-  Settings s = makeSettings();
-  s.sender_count = 200;
+TEST(Bound, FirstTrialOfOneOfManySendersIsSpread) {
+  Settings settings = makeSettings();
+  settings.sender_count = 200;
   int at_once = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Rig r(s, seed);
-    r.list({makeEndpoint("e1", 1)});
-    r.arrive("m", "safe", 1);
-    r.at(kS).end("m", 0, AttemptResult::timeout, kS);
-    at_once += !r.at(kS + 10 * kMs).arrive("next", "safe", 1).empty();
+    SchedulerDriver driver(settings, seed);
+    driver.list({makeEndpoint("e1", 1)});
+    driver.arrive("m", "safe", 1);
+    driver.at(kSecond).end("m", 0, AttemptResult::timeout, kSecond);
+    at_once += !driver.at(kSecond + 10 * kMillisecond).arrive("next", "safe", 1).empty();
   }
   EXPECT_LE(at_once, 5);
 }
--- a/tests/decision/property_test.cpp
+++ b/tests/decision/property_test.cpp
@@ -11,300 +11,311 @@
 
 namespace {
 
-struct Try {
+struct AttemptState {
   std::string endpoint;
-  Micros sent = 0;
-  bool out = true, may_have_run = true;
+  Micros sent_at = 0;
+  bool in_flight = true, may_have_run = true;
   AttemptResult last = AttemptResult::ok;
 };
-struct Msg {
-  const MessageClass* cls = nullptr;
-  std::int64_t dest = 0;
-  std::string key;
-  Micros give_up = 0;
+struct MessageState {
+  const MessageClass* rules = nullptr;
+  std::int64_t destination = 0;
+  std::string order_key;
+  Micros expires_at = 0;
   std::uint64_t order = 0;
   bool ended = false;
-  std::vector<Try> tries;
+  std::vector<AttemptState> attempts;
 };
 
-class World {
+class RandomEvents {
  public:
-  World(const Settings& s, std::uint64_t seed) : set_(s), rnd_(seed), sender_(s, seed) {
+  RandomEvents(const Settings& settings, std::uint64_t seed)
+      : settings_(settings), random_(seed), scheduler_(settings, seed) {
     for (int d = 0; d < 5; ++d)
       for (int i = 0; i < 1 + d % 3; ++i) {
         const std::string id = "e" + std::to_string(d) + std::to_string(i);
-        list_.push_back(makeEndpoint(
-            id, d, set_.destination_kinds[static_cast<std::size_t>(d) % set_.destination_kinds.size()].name,
+        endpoints_.push_back(makeEndpoint(
+            id, d,
+            settings_.destination_kinds[static_cast<std::size_t>(d) % settings_.destination_kinds.size()]
+                .name,
             1 + below(20), below(2) ? "a" : "b"));
       }
-    turn({EndpointsChanged{EndpointUpdateKind::cached, list_}});
+    turn({EndpointsChanged{EndpointUpdateKind::cached, endpoints_}});
   }
 
   void step() {
     std::vector<Event> events;
-    now_ += set_.tick * (1 + below(20));
+    now_ += settings_.tick * (1 + below(20));
     if (below(400) == 0)
-      now_ += 3 * kS;  // the host was away
-    if (wake_ > 0 && now_ >= wake_) {
-      wake_ = 0;
-      events.push_back(TimerFired{});
+      now_ += 3 * kSecond;  // the host was away
+    if (timer_at_ > 0 && now_ >= timer_at_) {
+      timer_at_ = 0;
+      events.emplace_back(TimerFired{});
     }
-    for (auto& [id, m] : msgs_)
-      if (!m.ended && m.order > 0 && below(300) == 0) {  // nobody wants it any more
-        m.ended = true;
-        events.push_back(Abandoned{id});
+    for (auto& [id, message] : messages_)
+      if (!message.ended && message.order > 0 && below(300) == 0) {  // nobody wants it any more
+        message.ended = true;
+        events.emplace_back(Abandoned{id});
       }
-    for (auto& [id, m] : msgs_)  // time-outs first: they can't come late
-      for (std::size_t i = 0; i < m.tries.size(); ++i)
-        if (m.tries[i].out && due_[{id, static_cast<int>(i)}] <= now_)
-          events.push_back(end(id, static_cast<int>(i), AttemptResult::timeout));
+    for (auto& [id, message] : messages_)  // time-outs first: they can't come late
+      for (std::size_t i = 0; i < message.attempts.size(); ++i)
+        if (message.attempts[i].in_flight && times_out_at_[{id, static_cast<int>(i)}] <= now_)
+          events.emplace_back(end(id, static_cast<int>(i), AttemptResult::timeout));
     for (int n = below(4); n > 0; --n)
       arrive(events);
-    for (auto& [id, m] : msgs_)
-      for (std::size_t i = 0; i < m.tries.size(); ++i)
-        if (m.tries[i].out && below(12) == 0)
-          events.push_back(end(id, static_cast<int>(i), anyResult(m.dest)));
+    for (auto& [id, message] : messages_)
+      for (std::size_t i = 0; i < message.attempts.size(); ++i)
+        if (message.attempts[i].in_flight && below(12) == 0)
+          events.emplace_back(end(id, static_cast<int>(i), anyResult(message.destination)));
     if (below(60) == 0)
       changeList(events);
     if (below(90) == 0)
-      events.push_back(EndpointsChanged{EndpointUpdateKind::failed, {}});
+      events.emplace_back(EndpointsChanged{EndpointUpdateKind::failed, {}});
     if (below(50) == 0)
-      events.push_back(AttemptOutcome{});  // names nothing
+      events.emplace_back(AttemptOutcome{});  // names nothing
     if (!events.empty())
       turn(events);
   }
 
   void drain() {
-    const Micros until = now_ + 40 * kS;
+    const Micros until = now_ + 40 * kSecond;
     while (now_ < until) {
-      now_ += set_.tick;
+      now_ += settings_.tick;
       std::vector<Event> events;
-      if (wake_ > 0 && now_ >= wake_) {
-        wake_ = 0;
-        events.push_back(TimerFired{});
+      if (timer_at_ > 0 && now_ >= timer_at_) {
+        timer_at_ = 0;
+        events.emplace_back(TimerFired{});
       }
-      for (auto& [id, m] : msgs_)
-        for (std::size_t i = 0; i < m.tries.size(); ++i)
-          if (m.tries[i].out && due_[{id, static_cast<int>(i)}] <= now_)
-            events.push_back(end(id, static_cast<int>(i), AttemptResult::timeout));
+      for (auto& [id, message] : messages_)
+        for (std::size_t i = 0; i < message.attempts.size(); ++i)
+          if (message.attempts[i].in_flight && times_out_at_[{id, static_cast<int>(i)}] <= now_)
+            events.emplace_back(end(id, static_cast<int>(i), AttemptResult::timeout));
       if (!events.empty())
         turn(events);
     }
-    for (auto& [id, m] : msgs_)
-      EXPECT_TRUE(m.ended) << id;
+    for (auto& [id, message] : messages_)
+      EXPECT_TRUE(message.ended) << id;
   }
 
   int answered = 0;
 
  private:
-  int below(int n) { return static_cast<int>(rnd_() % static_cast<std::uint64_t>(n)); }
+  int below(int n) { return static_cast<int>(random_() % static_cast<std::uint64_t>(n)); }
 
   AttemptResult anyResult(std::int64_t dest) {
     const AttemptResult bad[] = {AttemptResult::error, AttemptResult::throttled,
                                  AttemptResult::connect_failed, AttemptResult::reset,
                                  AttemptResult::not_sent};
-    const bool ill = (now_ / (7 * kS) + dest) % 3 == 0;
+    const bool ill = (now_ / (7 * kSecond) + dest) % 3 == 0;
     return below(10) < (ill ? 8 : 1) ? bad[below(5)] : AttemptResult::ok;
   }
 
   void arrive(std::vector<Event>& events) {
     int open = 0;
-    for (auto& [id, m] : msgs_)
-      open += !m.ended;
-    if (open >= set_.max_messages)
+    for (auto& [id, message] : messages_)
+      open += !message.ended;
+    if (open >= settings_.max_messages)
       return;
-    const std::string id = "m" + std::to_string(++count_);
-    Msg m;
-    m.cls = &set_.classes[static_cast<std::size_t>(below(static_cast<int>(set_.classes.size())))];
-    m.dest = below(6);  // the last has no endpoint
-    if (m.cls->ordered && below(4))
-      m.key = "k" + std::to_string(below(3));
-    m.give_up = now_ + (below(5) ? m.cls->deadline : Micros{below(800)} * kMs);  // some come with little time
-    m.order = static_cast<std::uint64_t>(count_);
-    Arrival a;
-    a.id = id;
-    a.message_class = m.cls->name;
-    a.destination = m.dest;
-    a.order_key = m.key;
-    a.deadline = Deadline(m.give_up);
-    a.tenant = "t";
-    events.push_back(a);
-    msgs_[id] = m;
+    const std::string id = "m" + std::to_string(++arrivals_);
+    MessageState message;
+    message.rules =
+        &settings_.classes[static_cast<std::size_t>(below(static_cast<int>(settings_.classes.size())))];
+    message.destination = below(6);  // the last has no endpoint
+    if (message.rules->ordered && below(4))
+      message.order_key = "k" + std::to_string(below(3));
+    message.expires_at = now_ + (below(5) ? message.rules->deadline
+                                          : Micros{below(800)} * kMillisecond);  // some come with little time
+    message.order = static_cast<std::uint64_t>(arrivals_);
+    Arrival arrival;
+    arrival.id = id;
+    arrival.message_class = message.rules->name;
+    arrival.destination = message.destination;
+    arrival.order_key = message.order_key;
+    arrival.deadline = Deadline(message.expires_at);
+    arrival.tenant = "t";
+    events.emplace_back(arrival);
+    messages_[id] = message;
   }
 
-  AttemptOutcome end(const std::string& id, int i, AttemptResult r) {
-    Msg& m = msgs_[id];
-    Try& t = m.tries[static_cast<std::size_t>(i)];
-    t.out = false;
-    t.last = r;
-    t.may_have_run =
-        r != AttemptResult::throttled && r != AttemptResult::connect_failed && r != AttemptResult::not_sent;
-    if (!m.key.empty() &&
-        (r == AttemptResult::timeout || r == AttemptResult::reset || r == AttemptResult::cancelled))
-      quiet_[m.key] = std::max(quiet_[m.key], now_ + set_.ordering_pause);
-    AttemptOutcome o;
-    o.id = id;
-    o.attempt = i;
-    o.result = r;
-    o.round_trip_time = now_ - t.sent;
-    if (r == AttemptResult::ok)
-      m.ended = true;
-    o.finished = m.ended;
-    if (r == AttemptResult::throttled && below(2)) {
-      o.retry_after = (1 + below(900)) * kMs;
-      const bool apart = kindOf(t.endpoint).independent_routes;
-      Micros& w = waits_[apart ? t.endpoint : "d" + std::to_string(m.dest)];
-      w = std::max(w, now_ + o.retry_after);
+  AttemptOutcome end(const std::string& id, int index, AttemptResult result) {
+    MessageState& message = messages_[id];
+    AttemptState& attempt = message.attempts[static_cast<std::size_t>(index)];
+    attempt.in_flight = false;
+    attempt.last = result;
+    attempt.may_have_run = result != AttemptResult::throttled && result != AttemptResult::connect_failed &&
+                           result != AttemptResult::not_sent;
+    if (!message.order_key.empty() && (result == AttemptResult::timeout || result == AttemptResult::reset ||
+                                       result == AttemptResult::cancelled))
+      order_paused_until_[message.order_key] =
+          std::max(order_paused_until_[message.order_key], now_ + settings_.ordering_pause);
+    AttemptOutcome outcome;
+    outcome.id = id;
+    outcome.attempt = index;
+    outcome.result = result;
+    outcome.round_trip_time = now_ - attempt.sent_at;
+    if (result == AttemptResult::ok)
+      message.ended = true;
+    outcome.finished = message.ended;
+    if (result == AttemptResult::throttled && below(2)) {
+      outcome.retry_after = (1 + below(900)) * kMillisecond;
+      const bool own_route = kindOf(attempt.endpoint).independent_routes;
+      Micros& until =
+          retry_after_until_[own_route ? attempt.endpoint : "d" + std::to_string(message.destination)];
+      until = std::max(until, now_ + outcome.retry_after);
     }
     if (below(2))
-      o.load_report = LoadReport{0.5, 1.0 + below(30)};
-    return o;
+      outcome.load_report = LoadReport{0.5, 1.0 + below(30)};
+    return outcome;
   }
 
   const DestinationKind& kindOf(const std::string& endpoint) {
-    for (const EndpointInfo& e : list_)
+    for (const EndpointInfo& e : endpoints_)
       if (e.id == endpoint)
-        for (const DestinationKind& k : set_.destination_kinds)
+        for (const DestinationKind& k : settings_.destination_kinds)
           if (k.name == e.kind)
             return k;
-    return set_.destination_kinds[0];
+    return settings_.destination_kinds[0];
   }
 
   void changeList(std::vector<Event>& events) {
-    EndpointInfo& e = list_[static_cast<std::size_t>(below(static_cast<int>(list_.size())))];
+    EndpointInfo& e = endpoints_[static_cast<std::size_t>(below(static_cast<int>(endpoints_.size())))];
     e.state = e.state == EndpointState::ready ? (below(2) ? EndpointState::draining : EndpointState::removed)
                                               : EndpointState::ready;
-    off_[e.id] = e.state == EndpointState::ready ? -1 : now_;
-    events.push_back(EndpointsChanged{EndpointUpdateKind::delta, {e}});
+    unlisted_at_[e.id] = e.state == EndpointState::ready ? -1 : now_;
+    events.emplace_back(EndpointsChanged{EndpointUpdateKind::delta, {e}});
   }
 
   void turn(const std::vector<Event>& events) {
     std::map<std::string, int> sent_to;
-    for (const Action& a : sender_.decide(now_, events)) {
-      if (const auto* s = std::get_if<SendAttempt>(&a)) {
-        onSend(*s);
-        ++sent_to[s->endpoint];
+    for (const Action& action : scheduler_.decide(now_, events)) {
+      if (const auto* send = std::get_if<SendAttempt>(&action)) {
+        onSend(*send);
+        ++sent_to[send->endpoint];
       }
-      if (const auto* r = std::get_if<Reject>(&a))
-        final(r->id, true);
-      if (const auto* f = std::get_if<Fail>(&a))
-        final(f->id, false);
-      if (const auto* w = std::get_if<SetTimer>(&a))
-        wake_ = wake_ > now_ ? std::min(wake_, now_ + w->delay) : now_ + w->delay;
-      if (const auto* c = std::get_if<CancelAttempt>(&a))
-        due_[{c->id, c->attempt}] = now_;
+      if (const auto* reject = std::get_if<Reject>(&action))
+        final(reject->id, true);
+      if (const auto* fail = std::get_if<Fail>(&action))
+        final(fail->id, false);
+      if (const auto* timer = std::get_if<SetTimer>(&action))
+        timer_at_ = timer_at_ > now_ ? std::min(timer_at_, now_ + timer->delay) : now_ + timer->delay;
+      if (const auto* cancel = std::get_if<CancelAttempt>(&action))
+        times_out_at_[{cancel->id, cancel->attempt}] = now_;
     }
     int slots = 0;
     std::map<std::pair<std::string, Micros>, int> calls;
-    for (auto& [id, m] : msgs_)
-      for (const Try& t : m.tries)
-        if (t.out)
-          ++calls[{t.endpoint, t.sent}];
+    for (auto& [id, message] : messages_)
+      for (const AttemptState& attempt : message.attempts)
+        if (attempt.in_flight)
+          ++calls[{attempt.endpoint, attempt.sent_at}];
     for (auto& [call, n] : calls) {
       const int per = kindOf(call.first).messages_per_call;
       slots += (n + per - 1) / per;
     }
-    EXPECT_LE(slots, set_.call_slots);
-    for (auto& [id, m] : msgs_)
-      if (!m.ended)
-        EXPECT_LE(now_, m.give_up + set_.answer_slack + 4 * kS) << id;  // the host may be away
+    EXPECT_LE(slots, settings_.call_slots);
+    for (auto& [id, message] : messages_)
+      if (!message.ended)
+        EXPECT_LE(now_, message.expires_at + settings_.answer_slack + 4 * kSecond)
+            << id;  // the host may be away
   }
 
   void final(const std::string& id, bool refuse) {
-    ASSERT_TRUE(msgs_.count(id)) << id;
-    Msg& m = msgs_[id];
-    EXPECT_FALSE(m.ended) << "two answers for " << id;
-    m.ended = true;
+    ASSERT_TRUE(messages_.count(id)) << id;
+    MessageState& message = messages_[id];
+    EXPECT_FALSE(message.ended) << "two answers for " << id;
+    message.ended = true;
     ++answered;
     if (!refuse)
       return;
-    const bool ran = std::any_of(m.tries.begin(), m.tries.end(), [](const Try& t) { return t.may_have_run; });
-    if (ran && m.cls->idempotency == Idempotency::non_idempotent)
+    const bool ran = std::any_of(message.attempts.begin(), message.attempts.end(),
+                                 [](const AttemptState& attempt) { return attempt.may_have_run; });
+    if (ran && message.rules->idempotency == Idempotency::non_idempotent)
       ADD_FAILURE() << "refused what may have run: " << id;
-    if (ran && m.cls->idempotency == Idempotency::with_key)
-      EXPECT_EQ(m.cls->deduplication_scope, DeduplicationScope::all) << id;
+    if (ran && message.rules->idempotency == Idempotency::with_key)
+      EXPECT_EQ(message.rules->deduplication_scope, DeduplicationScope::all) << id;
   }
 
-  void onSend(const SendAttempt& s) {
-    ASSERT_TRUE(msgs_.count(s.id)) << s.id;
-    Msg& m = msgs_[s.id];
-    EXPECT_FALSE(m.ended) << "sent after its end: " << s.id;
-    EXPECT_LT(static_cast<int>(m.tries.size()), set_.max_attempts);
+  void onSend(const SendAttempt& send) {
+    ASSERT_TRUE(messages_.count(send.id)) << send.id;
+    MessageState& message = messages_[send.id];
+    EXPECT_FALSE(message.ended) << "sent after its end: " << send.id;
+    EXPECT_LT(static_cast<int>(message.attempts.size()), settings_.max_attempts);
     const EndpointInfo* e = nullptr;
-    for (const EndpointInfo& x : list_)
-      if (x.id == s.endpoint)
+    for (const EndpointInfo& x : endpoints_)
+      if (x.id == send.endpoint)
         e = &x;
     ASSERT_NE(e, nullptr);
-    EXPECT_EQ(e->destination, m.dest);
-    EXPECT_GT(s.timeout, 0);
-    EXPECT_LE(now_ + s.timeout, m.give_up);
-    if (off_.count(e->id) && off_[e->id] >= 0)
-      EXPECT_LE(now_, off_[e->id] + set_.drain_grace) << e->id;
-    const std::string scope = kindOf(e->id).independent_routes ? e->id : "d" + std::to_string(m.dest);
-    if (waits_.count(scope))
-      EXPECT_GE(now_, waits_[scope]) << "wait of " << scope;
-    for (const Try& t : m.tries) {
-      if (t.out)
-        EXPECT_TRUE(set_.may_hedge) << s.id;
-      if (!t.may_have_run)
+    EXPECT_EQ(e->destination, message.destination);
+    EXPECT_GT(send.timeout, 0);
+    EXPECT_LE(now_ + send.timeout, message.expires_at);
+    if (unlisted_at_.count(e->id) && unlisted_at_[e->id] >= 0)
+      EXPECT_LE(now_, unlisted_at_[e->id] + settings_.drain_grace) << e->id;
+    const std::string scope =
+        kindOf(e->id).independent_routes ? e->id : "d" + std::to_string(message.destination);
+    if (retry_after_until_.count(scope))
+      EXPECT_GE(now_, retry_after_until_[scope]) << "wait of " << scope;
+    for (const AttemptState& attempt : message.attempts) {
+      if (attempt.in_flight)
+        EXPECT_TRUE(settings_.may_hedge) << send.id;
+      if (!attempt.may_have_run)
         continue;
-      EXPECT_NE(m.cls->idempotency, Idempotency::non_idempotent) << "unsafe sent twice: " << s.id;
-      if (m.cls->idempotency != Idempotency::with_key)
+      EXPECT_NE(message.rules->idempotency, Idempotency::non_idempotent) << "unsafe sent twice: " << send.id;
+      if (message.rules->idempotency != Idempotency::with_key)
         continue;
-      EXPECT_LE(now_, t.sent + m.cls->deduplication_window);
-      for (const EndpointInfo& x : list_)
-        if (x.id == t.endpoint && m.cls->deduplication_scope == DeduplicationScope::zone)
+      EXPECT_LE(now_, attempt.sent_at + message.rules->deduplication_window);
+      for (const EndpointInfo& x : endpoints_)
+        if (x.id == attempt.endpoint && message.rules->deduplication_scope == DeduplicationScope::zone)
           EXPECT_EQ(x.zone, e->zone);
     }
-    if (!m.key.empty()) {
-      for (auto& [id, o] : msgs_) {
-        if (o.key != m.key || o.order >= m.order)
+    if (!message.order_key.empty()) {
+      for (auto& [id, o] : messages_) {
+        if (o.order_key != message.order_key || o.order >= message.order)
           continue;
-        const bool out = std::any_of(o.tries.begin(), o.tries.end(), [](const Try& t) { return t.out; });
-        EXPECT_TRUE(o.ended && !out) << s.id << " before " << id;
+        const bool out = std::any_of(o.attempts.begin(), o.attempts.end(),
+                                     [](const AttemptState& attempt) { return attempt.in_flight; });
+        EXPECT_TRUE(o.ended && !out) << send.id << " before " << id;
       }
-      if (m.tries.empty() && quiet_.count(m.key))
-        EXPECT_GE(now_, quiet_[m.key]) << m.key;
+      if (message.attempts.empty() && order_paused_until_.count(message.order_key))
+        EXPECT_GE(now_, order_paused_until_[message.order_key]) << message.order_key;
     }
-    m.tries.push_back({s.endpoint, now_, true, true, AttemptResult::ok});
-    due_[{s.id, static_cast<int>(m.tries.size()) - 1}] = now_ + s.timeout;
+    message.attempts.push_back({send.endpoint, now_, true, true, AttemptResult::ok});
+    times_out_at_[{send.id, static_cast<int>(message.attempts.size()) - 1}] = now_ + send.timeout;
   }
 
-  Settings set_;
-  std::mt19937_64 rnd_;
-  DeliveryScheduler sender_;
-  Micros now_ = 0, wake_ = 0;
-  int count_ = 0;
-  std::vector<EndpointInfo> list_;
-  std::map<std::string, Msg> msgs_;
-  std::map<std::pair<std::string, int>, Micros> due_;
-  std::map<std::string, Micros> waits_, quiet_, off_;
+  Settings settings_;
+  std::mt19937_64 random_;
+  DeliveryScheduler scheduler_;
+  Micros now_ = 0, timer_at_ = 0;
+  int arrivals_ = 0;
+  std::vector<EndpointInfo> endpoints_;
+  std::map<std::string, MessageState> messages_;
+  std::map<std::pair<std::string, int>, Micros> times_out_at_;
+  std::map<std::string, Micros> retry_after_until_, order_paused_until_, unlisted_at_;
 };
 
-TEST(Property, RulesHoldUnderLongRandomButLegalSequences) {
+TEST(Property, RulesHoldUnderLongRandomSequences) {
   for (int variant = 0; variant < 12; ++variant) {
     SCOPED_TRACE(variant);
-    Settings s = makeSettings();
-    s.call_slots = 1 + variant % 5 * 3;
-    s.max_messages = 20 + variant * 7;
-    s.max_attempts = 2 + variant % 6;
-    s.may_hedge = variant % 3 == 0;
-    s.may_cancel = variant % 2 == 0;
-    s.discovery_mode = variant % 2 ? DiscoveryMode::poll : DiscoveryMode::push;
-    s.weight_kind = variant % 3 == 1 ? WeightKind::nominal : WeightKind::none;
-    s.late_decay = variant % 2 ? LateDecay::halving : LateDecay::linear;
-    s.sender_count = variant % 4 == 3 ? 200 : 1 + variant % 4;
-    s.ordering_pause = 300 * kMs;
+    Settings settings = makeSettings();
+    settings.call_slots = 1 + variant % 5 * 3;
+    settings.max_messages = 20 + variant * 7;
+    settings.max_attempts = 2 + variant % 6;
+    settings.may_hedge = variant % 3 == 0;
+    settings.may_cancel = variant % 2 == 0;
+    settings.discovery_mode = variant % 2 ? DiscoveryMode::poll : DiscoveryMode::push;
+    settings.weight_kind = variant % 3 == 1 ? WeightKind::nominal : WeightKind::none;
+    settings.late_decay = variant % 2 ? LateDecay::halving : LateDecay::linear;
+    settings.sender_count = variant % 4 == 3 ? 200 : 1 + variant % 4;
+    settings.ordering_pause = 300 * kMillisecond;
     if (variant % 2)
-      s.tenants = {{"t", 2.0, 0.5}};
-    s.classes[static_cast<std::size_t>(variant % 3)].ordered = true;
+      settings.tenants = {{"t", 2.0, 0.5}};
+    settings.classes[static_cast<std::size_t>(variant % 3)].ordered = true;
     if (variant % 4 == 1)
-      s.classes[1].deduplication_scope = DeduplicationScope::zone;
-    World w(s, static_cast<std::uint64_t>(variant) + 1);
+      settings.classes[1].deduplication_scope = DeduplicationScope::zone;
+    RandomEvents world(settings, static_cast<std::uint64_t>(variant) + 1);
     for (int i = 0; i < 1500; ++i)
-      w.step();
-    w.drain();
-    EXPECT_GT(w.answered, 0);
+      world.step();
+    world.drain();
+    EXPECT_GT(world.answered, 0);
   }
 }
 
--- a/tests/decision/tags_test.cpp
+++ b/tests/decision/tags_test.cpp
@@ -11,23 +11,23 @@
 // The paper's Table 3: M1 = 20, M2 = 40 a second, w1:w2 = 3:1, one server of 100 a second. Each 50 ms three
 // starts go to c1 and two to c2.
 TEST(Tags, PaperTable3) {
-  Settings s = makeSettings();
-  s.call_slots = 1;
-  s.weight_kind = WeightKind::nominal;
-  s.classes = {makeClass("c1", Idempotency::idempotent, 50 * kMs),
-               makeClass("c2", Idempotency::idempotent, 25 * kMs)};
-  Rig r(s);
-  r.list({makeEndpoint("e1", 1, "shared", 3000), makeEndpoint("e2", 2, "shared", 1000)});
+  Settings settings = makeSettings();
+  settings.call_slots = 1;
+  settings.weight_kind = WeightKind::nominal;
+  settings.classes = {makeClass("c1", Idempotency::idempotent, 50 * kMillisecond),
+                      makeClass("c2", Idempotency::idempotent, 25 * kMillisecond)};
+  SchedulerDriver driver(settings);
+  driver.list({makeEndpoint("e1", 1, "shared", 3000), makeEndpoint("e2", 2, "shared", 1000)});
   // Weights in the ratio 3:1, far above what the server does, so that no bound decides.
   std::vector<Event> all;
   for (int i = 0; i < 30; ++i) {
-    all.push_back(r.arrival("a" + std::to_string(i), "c1", 1));
-    all.push_back(r.arrival("b" + std::to_string(i), "c2", 2));
+    all.emplace_back(driver.arrival("a" + std::to_string(i), "c1", 1));
+    all.emplace_back(driver.arrival("b" + std::to_string(i), "c2", 2));
   }
-  Ids order = r.run(all);
+  Ids order = driver.run(all);
   for (int t = 1; order.size() < 25 && t < 100; ++t) {
     const std::string last = order.back();
-    for (const auto& id : r.at(t * 10 * kMs).end(last, 0, AttemptResult::ok, 10 * kMs))
+    for (const auto& id : driver.at(10 * kMillisecond * t).end(last, 0, AttemptResult::ok, 10 * kMillisecond))
       order.push_back(id);
   }
   ASSERT_GE(order.size(), 25u);
@@ -42,45 +42,48 @@
 }
 
 TEST(Tags, DueLocalTagGoesBeforeSmallerGlobalTag) {
-  Settings s = makeSettings();
-  s.call_slots = 1;
-  s.weight_kind = WeightKind::nominal;
-  Rig r(s);
-  r.list({makeEndpoint("e1", 1, "shared", 1000), makeEndpoint("e2", 2, "shared", 1)});
-  EXPECT_EQ(r.run({r.arrival("x", "safe", 1), r.arrival("a1", "safe", 1), r.arrival("b1", "safe", 2)}),
+  Settings settings = makeSettings();
+  settings.call_slots = 1;
+  settings.weight_kind = WeightKind::nominal;
+  SchedulerDriver driver(settings);
+  driver.list({makeEndpoint("e1", 1, "shared", 1000), makeEndpoint("e2", 2, "shared", 1)});
+  EXPECT_EQ(driver.run({driver.arrival("x", "safe", 1), driver.arrival("a1", "safe", 1),
+                        driver.arrival("b1", "safe", 2)}),
             Ids{"x"});
   // a1 has local tag 2 s, global about 1 ms; b1 has a due local tag and a later global one.
-  EXPECT_EQ(r.at(100 * kMs).end("x", 0, AttemptResult::ok), Ids{"b1"});
-  EXPECT_EQ(r.at(200 * kMs).end("b1", 0, AttemptResult::ok), Ids{"a1"});
+  EXPECT_EQ(driver.at(100 * kMillisecond).end("x", 0, AttemptResult::ok), Ids{"b1"});
+  EXPECT_EQ(driver.at(200 * kMillisecond).end("b1", 0, AttemptResult::ok), Ids{"a1"});
 }
 
-TEST(Tags, EndpointWithTheFewestCallsOut) {
-  Rig r;
-  r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
-  r.arrive("m1", "safe", 1);
-  r.arrive("m2", "safe", 1);
-  EXPECT_NE(r.where["m1"], r.where["m2"]);
+TEST(Tags, EndpointWithTheFewestCallsInFlightIsChosen) {
+  SchedulerDriver driver;
+  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
+  driver.arrive("m1", "safe", 1);
+  driver.arrive("m2", "safe", 1);
+  EXPECT_NE(driver.sent_to["m1"], driver.sent_to["m2"]);
 }
 
 TEST(Tags, IdleCreditIsAtMostSigmaStarts) {
-  Settings s = makeSettings();
-  s.call_slots = 1;
-  s.weight_kind = WeightKind::nominal;
-  Rig r(s);
-  r.list({makeEndpoint("e1", 1, "shared", 100), makeEndpoint("e2", 2, "shared", 100)});
-  r.arrive("old", "safe", 2);
-  r.at(100 * kMs).end("old", 0, AttemptResult::ok);
+  Settings settings = makeSettings();
+  settings.call_slots = 1;
+  settings.weight_kind = WeightKind::nominal;
+  SchedulerDriver driver(settings);
+  driver.list({makeEndpoint("e1", 1, "shared", 100), makeEndpoint("e2", 2, "shared", 100)});
+  driver.arrive("old", "safe", 2);
+  driver.at(100 * kMillisecond).end("old", 0, AttemptResult::ok);
   // Destination 1 is backlogged, 2 comes back from idleness with four messages: its lag of two starts lets
   // the second and third go before those of 1, not the fourth.
-  r.at(5 * kS);
+  driver.at(5 * kSecond);
   std::vector<Event> all;
+  all.reserve(5);
   for (int i = 0; i < 5; ++i)
-    all.push_back(r.arrival("a" + std::to_string(i), "safe", 1));
+    all.emplace_back(driver.arrival("a" + std::to_string(i), "safe", 1));
   for (int i = 0; i < 4; ++i)
-    all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
-  Ids order = r.run(all);
+    all.emplace_back(driver.arrival("b" + std::to_string(i), "safe", 2));
+  Ids order = driver.run(all);
   for (int i = 0; order.size() < 6 && i < 20; ++i)
-    for (const auto& id : r.at(5 * kS + (i + 1) * 20 * kMs).end(order.back(), 0, AttemptResult::ok, 20 * kMs))
+    for (const auto& id : driver.at(5 * kSecond + 20 * kMillisecond * (i + 1))
+                              .end(order.back(), 0, AttemptResult::ok, 20 * kMillisecond))
       order.push_back(id);
   std::string who;
   for (const auto& id : order)
@@ -93,23 +96,24 @@
 // Tag adjustment: global tags of a backlog that ran ahead of real time move back so that the smallest is now;
 // else a newly active destination would starve the backlogged one until its tags had caught up.
 TEST(Tags, ArrivalShiftsGlobalTagsSoThatTheSmallestIsNow) {
-  Settings s = makeSettings();
-  s.call_slots = 1;
-  Rig r(s);
-  r.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
+  Settings settings = makeSettings();
+  settings.call_slots = 1;
+  SchedulerDriver driver(settings);
+  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
   std::vector<Event> all;
+  all.reserve(30);
   for (int i = 0; i < 30; ++i)
-    all.push_back(r.arrival("a" + std::to_string(i), "safe", 1));
-  Ids order = r.run(all);
+    all.emplace_back(driver.arrival("a" + std::to_string(i), "safe", 1));
+  Ids order = driver.run(all);
   for (int i = 1; i <= 10; ++i)
-    order = r.at(i * 10 * kMs).end(order.at(0), 0, AttemptResult::ok, 10 * kMs);
+    order = driver.at(10 * kMillisecond * i).end(order.at(0), 0, AttemptResult::ok, 10 * kMillisecond);
   all.clear();
   for (int i = 0; i < 5; ++i)
-    all.push_back(r.arrival("b" + std::to_string(i), "safe", 2));
-  EXPECT_TRUE(r.run(all).empty());
+    all.emplace_back(driver.arrival("b" + std::to_string(i), "safe", 2));
+  EXPECT_TRUE(driver.run(all).empty());
   std::string who;
   for (int i = 11; i <= 16; ++i) {
-    order = r.at(i * 10 * kMs).end(order.at(0), 0, AttemptResult::ok, 10 * kMs);
+    order = driver.at(10 * kMillisecond * i).end(order.at(0), 0, AttemptResult::ok, 10 * kMillisecond);
     who += order.at(0)[0];
   }
   EXPECT_GE(std::count(who.begin(), who.end(), 'a'), 2) << who;
--- a/tests/support/scheduler_fixture.h
+++ b/tests/support/scheduler_fixture.h
@@ -1,4 +1,4 @@
-// Helpers for the tests: settings in plain figures and a small driver of one DeliveryScheduler.
+// Helpers for the tests of the decision module: settings, and a driver of one DeliveryScheduler.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,123 +11,127 @@
 
 namespace delivery {
 
-constexpr Micros kMs = 1000;
-constexpr Micros kS = 1000000;
+constexpr Micros kMillisecond = 1000;
+constexpr Micros kSecond = 1000000;
 
-inline MessageClass makeClass(const std::string& name, Idempotency effect, Micros aim = 2 * kS) {
-  MessageClass c;
-  c.name = name;
-  c.idempotency = effect;
-  c.latency_objective = aim;
-  c.deadline = 20 * kS;
-  c.late_weight_share = 0.3;
-  c.deduplication_window = 5 * kS;
-  return c;
+inline MessageClass makeClass(const std::string& name, Idempotency idempotency,
+                              Micros objective = 2 * kSecond) {
+  MessageClass message_class;
+  message_class.name = name;
+  message_class.idempotency = idempotency;
+  message_class.latency_objective = objective;
+  message_class.deadline = 20 * kSecond;
+  message_class.late_weight_share = 0.3;
+  message_class.deduplication_window = 5 * kSecond;
+  return message_class;
 }
 
 inline Settings makeSettings() {
-  Settings s;
-  s.classes = {makeClass("safe", Idempotency::idempotent), makeClass("keyed", Idempotency::with_key),
-               makeClass("unsafe", Idempotency::non_idempotent)};
-  s.destination_kinds = {{"shared", false, 1}, {"apart", true, 1}, {"batch", false, 3}};
-  s.zones = {"a", "b"};
-  s.call_slots = 8;
-  s.max_messages = 200;
-  s.max_attempts = 6;
-  s.tick = 5 * kMs;
-  s.answer_slack = 20 * kMs;
-  s.poll_interval = 10 * kS;
-  s.drain_grace = 250 * kMs;
-  s.overload_window = 2 * kS;
-  s.slow_start_time = 10 * kS;
-  s.slow_start_share = 0.3;
-  s.overload_factor = 1.5;
-  s.connect_timeout = kS;
-  s.connection_idle_timeout = 5 * kS;
-  return s;
+  Settings settings;
+  settings.classes = {makeClass("safe", Idempotency::idempotent), makeClass("keyed", Idempotency::with_key),
+                      makeClass("unsafe", Idempotency::non_idempotent)};
+  settings.destination_kinds = {{"shared", false, 1}, {"apart", true, 1}, {"batch", false, 3}};
+  settings.zones = {"a", "b"};
+  settings.call_slots = 8;
+  settings.max_messages = 200;
+  settings.max_attempts = 6;
+  settings.tick = 5 * kMillisecond;
+  settings.answer_slack = 20 * kMillisecond;
+  settings.poll_interval = 10 * kSecond;
+  settings.drain_grace = 250 * kMillisecond;
+  settings.overload_window = 2 * kSecond;
+  settings.slow_start_time = 10 * kSecond;
+  settings.slow_start_share = 0.3;
+  settings.overload_factor = 1.5;
+  settings.connect_timeout = kSecond;
+  settings.connection_idle_timeout = 5 * kSecond;
+  return settings;
 }
 
-inline EndpointInfo makeEndpoint(const std::string& id, std::int64_t dest, const std::string& kind = "shared",
-                                 double weight = 0, const std::string& zone = "a") {
-  EndpointInfo e;
-  e.id = id;
-  e.zone = zone;
-  e.kind = kind;
-  e.destination = dest;
-  e.weight = weight;
-  return e;
+inline EndpointInfo makeEndpoint(const std::string& id, std::int64_t destination,
+                                 const std::string& kind = "shared", double weight = 0,
+                                 const std::string& zone = "a") {
+  EndpointInfo endpoint;
+  endpoint.id = id;
+  endpoint.zone = zone;
+  endpoint.kind = kind;
+  endpoint.destination = destination;
+  endpoint.weight = weight;
+  return endpoint;
 }
 
-class Rig {
+// Runs turns of one scheduler at moments that the test gives, and keeps the actions of the last turn.
+class SchedulerDriver {
  public:
-  explicit Rig(Settings s = makeSettings(), std::uint64_t seed = 7) : set(s), sender(std::move(s), seed) {}
+  explicit SchedulerDriver(const Settings& given = makeSettings(), std::uint64_t seed = 7)
+      : settings(given), scheduler(given, seed) {}
 
-  Rig& at(Micros t) {
-    now = t;
+  SchedulerDriver& at(Micros moment) {
+    now = moment;
     return *this;
   }
   void list(std::vector<EndpointInfo> endpoints, EndpointUpdateKind kind = EndpointUpdateKind::cached) {
     run({EndpointsChanged{kind, std::move(endpoints)}});
   }
-  Arrival arrival(const std::string& id, const std::string& cls, std::int64_t dest,
+  Arrival arrival(const std::string& id, const std::string& class_name, std::int64_t destination,
                   const std::string& key = "") {
-    Arrival a;
-    a.id = id;
-    a.message_class = cls;
-    a.destination = dest;
-    a.order_key = key;
-    for (const auto& c : set.classes)
-      if (c.name == cls)
-        a.deadline = Deadline::after(now, c.deadline);
-    return a;
+    Arrival arrival;
+    arrival.id = id;
+    arrival.message_class = class_name;
+    arrival.destination = destination;
+    arrival.order_key = key;
+    for (const MessageClass& each : settings.classes)
+      if (each.name == class_name)
+        arrival.deadline = Deadline::after(now, each.deadline);
+    return arrival;
   }
-  std::vector<std::string> arrive(const std::string& id, const std::string& cls, std::int64_t dest,
-                                  const std::string& key = "") {
-    return run({arrival(id, cls, dest, key)});
+  std::vector<std::string> arrive(const std::string& id, const std::string& class_name,
+                                  std::int64_t destination, const std::string& key = "") {
+    return run({arrival(id, class_name, destination, key)});
   }
-  AttemptOutcome outcome(const std::string& id, int attempt, AttemptResult r, Micros rtt = 100 * kMs,
-                         Micros wait = 0) {
-    AttemptOutcome o;
-    o.id = id;
-    o.attempt = attempt;
-    o.result = r;
-    o.finished = r == AttemptResult::ok;
-    o.round_trip_time = rtt;
-    o.retry_after = wait;
-    return o;
+  AttemptOutcome outcome(const std::string& id, int attempt, AttemptResult result,
+                         Micros round_trip_time = 100 * kMillisecond, Micros retry_after = 0) {
+    AttemptOutcome outcome;
+    outcome.id = id;
+    outcome.attempt = attempt;
+    outcome.result = result;
+    outcome.finished = result == AttemptResult::ok;
+    outcome.round_trip_time = round_trip_time;
+    outcome.retry_after = retry_after;
+    return outcome;
   }
-  std::vector<std::string> end(const std::string& id, int attempt, AttemptResult r, Micros rtt = 100 * kMs,
-                               Micros wait = 0) {
-    return run({outcome(id, attempt, r, rtt, wait)});
+  std::vector<std::string> end(const std::string& id, int attempt, AttemptResult result,
+                               Micros round_trip_time = 100 * kMillisecond, Micros retry_after = 0) {
+    return run({outcome(id, attempt, result, round_trip_time, retry_after)});
   }
   std::vector<std::string> wake() { return run({TimerFired{}}); }
 
   // Runs one turn; returns the ids of the messages sent, in order.
   std::vector<std::string> run(const std::vector<Event>& events) {
-    acts = sender.decide(now, events);
+    actions = scheduler.decide(now, events);
     std::vector<std::string> sent;
-    for (const Action& a : acts)
-      if (const auto* s = std::get_if<SendAttempt>(&a)) {
-        sent.push_back(s->id);
-        where[s->id] = s->endpoint;
-        timeout[s->id] = s->timeout;
+    for (const Action& action : actions)
+      if (const auto* send = std::get_if<SendAttempt>(&action)) {
+        sent.push_back(send->id);
+        sent_to[send->id] = send->endpoint;
+        timeout[send->id] = send->timeout;
       }
     return sent;
   }
   template <class T>
   std::vector<T> got() const {
-    std::vector<T> v;
-    for (const Action& a : acts)
-      if (const auto* x = std::get_if<T>(&a))
-        v.push_back(*x);
-    return v;
+    std::vector<T> found_actions;
+    for (const Action& action : actions)
+      if (const auto* found = std::get_if<T>(&action))
+        found_actions.push_back(*found);
+    return found_actions;
   }
 
-  Settings set;
-  DeliveryScheduler sender;
+  Settings settings;
+  DeliveryScheduler scheduler;
   Micros now = 0;
-  std::vector<Action> acts;
-  std::map<std::string, std::string> where;
+  std::vector<Action> actions;
+  std::map<std::string, std::string> sent_to;
   std::map<std::string, Micros> timeout;
 };
 
