--- a/src/network/completion_notifier.cpp
+++ b/src/network/completion_notifier.cpp
@@ -30,8 +30,9 @@
 
 void CompletionNotifier::enqueue(const std::string& message_id, const CompletionNotice& notice) {
   pending_.push_back({message_id, notice});
-  if (in_flight_ == 0 && !backing_off_)
+  if (in_flight_ == 0 && !backing_off_) {
     sendNextBatch();
+  }
 }
 
 void CompletionNotifier::changeServer(tcp::endpoint server, std::string host) {
@@ -45,21 +46,24 @@
 std::string CompletionNotifier::toLine(const PendingNotice& pending) {
   const CompletionNotice& notice = pending.notice;
   json line{{"message", pending.message_id}, {"outcome", notice.returned ? "handed_back" : "given_up"}};
-  if (notice.returned && notice.retry_after_ms > 0)
+  if (notice.returned && notice.retry_after_ms > 0) {
     line["retry_in_ms"] = notice.retry_after_ms;
+  }
   return line.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
 void CompletionNotifier::sendNextBatch() {
-  if (pending_.empty())
+  if (pending_.empty()) {
     return;
+  }
   in_flight_ = std::min(pending_.size(), batch_limit_);
   HttpRequest request;
   request.method = "POST";
   request.target = "/v1/notices";
   request.fields.emplace_back("Content-Type", "application/json");
-  for (std::size_t i = 0; i < in_flight_; ++i)
+  for (std::size_t i = 0; i < in_flight_; ++i) {
     request.body += toLine(pending_[i]);
+  }
   client_.send(std::move(request), kResponseTimeout,
                [this](const HttpResponse& response) { onResponse(response); });
 }
@@ -76,11 +80,13 @@
     backOff();
     return;
   }
-  if (unreadable)
+  if (unreadable) {
     logError("discovery", "notice_refused_as_unreadable").field("message_id", pending_.front().message_id);
+  }
   acknowledge(sent);
-  if (pending_.empty())
+  if (pending_.empty()) {
     batch_limit_ = kMaxBatch;
+  }
   sendNextBatch();
 }
 
--- a/src/network/discovery_client.cpp
+++ b/src/network/discovery_client.cpp
@@ -19,22 +19,26 @@
     : io_(io), server_(std::move(server)), host_(std::move(host)), backoff_timer_(io) {}
 
 void DiscoveryClient::send(HttpRequest request, Micros timeout, HttpConnection::Done done) {
-  if (stopped_)
+  if (stopped_) {
     return;
-  if (!connection_ || !connection_->reusable())
+  }
+  if (!connection_ || !connection_->reusable()) {
     connection_ = std::make_unique<HttpConnection>(io_, server_, host_, kMaxResponseBodyBytes);
+  }
   connection_->exchange(std::move(request), kConnectTimeout, Deadline::after(monotonicNow(), timeout),
                         std::move(done));
 }
 
 void DiscoveryClient::backOff(Micros pause, std::function<void()> then) {
   connection_.reset();
-  if (stopped_)
+  if (stopped_) {
     return;
+  }
   backoff_timer_.expires_after(std::chrono::microseconds(pause));
   backoff_timer_.async_wait([then = std::move(then)](const boost::system::error_code& cancelled) {
-    if (!cancelled)
+    if (!cancelled) {
       then();
+    }
   });
 }
 
--- a/src/network/endpoint_watch.cpp
+++ b/src/network/endpoint_watch.cpp
@@ -52,9 +52,10 @@
   HttpRequest request;
   request.method = "GET";
   request.target = "/v1/endpoints";
-  if (watches)
+  if (watches) {
     request.target +=
         "?from=" + std::to_string(known_index_) + "&hold_ms=" + std::to_string(kWatchHold / kMicrosPerMs);
+  }
   const Micros timeout = (watches ? kWatchHold : 0) + kResponseTimeout;
   client_.send(std::move(request), timeout, [this](const HttpResponse& response) { onResponse(response); });
 }
@@ -73,15 +74,17 @@
     retryWithBackoff();
     return;
   }
-  if (consecutive_failures_ > 0)
+  if (consecutive_failures_ > 0) {
     logInfo("discovery", "calls_succeed_again").field("failed_calls", consecutive_failures_);
+  }
   consecutive_failures_ = 0;
   requestList();
 }
 
 void EndpointWatch::retryWithBackoff() {
-  if (consecutive_failures_ == 0)
+  if (consecutive_failures_ == 0) {
     logWarning("discovery", "call_failed").field("next", "retry with exponential backoff");
+  }
   ++consecutive_failures_;
   client_.backOff(withJitter(backoffAfter(consecutive_failures_), random_), [this] { requestList(); });
 }
--- a/src/network/http_connection.cpp
+++ b/src/network/http_connection.cpp
@@ -31,9 +31,11 @@
 constexpr unsigned kStatusSwitchingProtocols = 101;
 
 std::string toLowerCase(std::string text) {
-  for (char& c : text)
-    if (c >= 'A' && c <= 'Z')
+  for (char& c : text) {
+    if (c >= 'A' && c <= 'Z') {
       c = static_cast<char>(c - 'A' + 'a');
+    }
+  }
   return text;
 }
 
@@ -43,8 +45,9 @@
   message.method_string(request.method);
   message.target(request.target);
   message.set(http::field::host, host);
-  for (const auto& [name, value] : request.fields)
+  for (const auto& [name, value] : request.fields) {
     message.set(name, value);
+  }
   message.body() = std::move(request.body);
   message.prepare_payload();
   return message;
@@ -64,8 +67,9 @@
   template <class Handler>
   auto forThisExchange(Handler handler) {
     return [self = shared_from_this(), id = exchange_id_, handler](auto... arguments) {
-      if (id == self->exchange_id_)
+      if (id == self->exchange_id_) {
         handler(arguments...);
+      }
     };
   }
 
@@ -138,8 +142,9 @@
     const std::uint64_t timer_id = ++timer_id_;  // the handler of an earlier setting may be queued
     timer_.expires_after(std::chrono::microseconds(std::max<Micros>(0, delay)));
     timer_.async_wait(forThisExchange([this, timer_id](error_code cancelled) {
-      if (!cancelled && timer_id == timer_id_)
+      if (!cancelled && timer_id == timer_id_) {
         onTimeout();
+      }
     }));
   }
 
@@ -165,8 +170,9 @@
       return;
     }
     open_ = true;
-    if (progress_.on_connected)
+    if (progress_.on_connected) {
       progress_.on_connected();
+    }
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
     setTimer(deadline_.remaining(monotonicNow()));
@@ -183,8 +189,9 @@
       failOnStaleConnection();
       return;
     }
-    if (!remaining_time_field_.empty())
+    if (!remaining_time_field_.empty()) {
       request_.set(remaining_time_field_, std::to_string(remaining / kMicrosPerMs));
+    }
     request_bytes_ = serialize(request_);
     bytes_written_ = 0;
     continueWriting();
@@ -196,8 +203,9 @@
   void continueWriting() {
     error_code error;
     socket_.non_blocking(true, error);
-    while (!error && bytes_written_ < request_bytes_.size())
+    while (!error && bytes_written_ < request_bytes_.size()) {
       bytes_written_ += socket_.write_some(asio::buffer(request_bytes_) + bytes_written_, error);
+    }
     if (error == asio::error::would_block) {
       waitUntilWritable();
       return;
@@ -213,10 +221,11 @@
 
   void waitUntilWritable() {
     socket_.async_wait(tcp::socket::wait_write, forThisExchange([this](error_code error) {
-                         if (error)
+                         if (error) {
                            fail(ExchangeStatus::not_written);
-                         else
+                         } else {
                            continueWriting();
+                         }
                        }));
   }
 
@@ -230,10 +239,11 @@
   void onHead(error_code error) {
     const bool response_still_to_come = !error && skipInformationalHead();
     if (response_still_to_come) {
-      if (time_is_up_)
+      if (time_is_up_) {
         readAvailable();
-      else
+      } else {
         readHead();
+      }
       return;
     }
     head_received_ = !error;  // from here on the status is known, whatever becomes of the body
@@ -242,38 +252,44 @@
       return;
     }
     if (error) {
-      if (statusLineSaysOk())
+      if (statusLineSaysOk()) {
         respond(false);
-      else
+      } else {
         fail(ExchangeStatus::broken);
+      }
       return;
     }
     const std::uint64_t id = exchange_id_;
-    if (!bodyIsBuffered() && progress_.on_head)
+    if (!bodyIsBuffered() && progress_.on_head) {
       progress_.on_head(responseSoFar());
-    if (id == exchange_id_)  // the callback may have ended the exchange
+    }
+    if (id == exchange_id_) {  // the callback may have ended the exchange
       readBody();
+    }
   }
 
   // A head with a status of 1xx announces that the response is still to come. It is skipped, but for a peer
   // that sends nothing else.
   bool skipInformationalHead() {
     const unsigned status = parser_->get().result_int();
-    if (status < 100 || status > 199 || status == kStatusSwitchingProtocols)
+    if (status < 100 || status > 199 || status == kStatusSwitchingProtocols) {
       return false;
+    }
     ++informational_heads_;
-    if (informational_heads_ > kMaxInformationalHeads)
+    if (informational_heads_ > kMaxInformationalHeads) {
       return false;
+    }
     expectResponse();
     return true;
   }
 
   void readBody() {
     http::async_read(socket_, read_buffer_, *parser_, forThisExchange([this](error_code error, std::size_t) {
-                       if (error == asio::error::operation_aborted)
+                       if (error == asio::error::operation_aborted) {
                          readAvailable();
-                       else
+                       } else {
                          respond(!error);
+                       }
                      }));
   }
 
@@ -285,23 +301,27 @@
       http::read_header(socket_, read_buffer_, *parser_, error);
       head_received_ = !error && !skipInformationalHead();
     }
-    if (!error)
+    if (!error) {
       http::read(socket_, read_buffer_, *parser_, error);
-    if (head_received_ || statusLineSaysOk())
+    }
+    if (head_received_ || statusLineSaysOk()) {
       respond(!error);
-    else if (error == asio::error::would_block)
+    } else if (error == asio::error::would_block) {
       fail(ExchangeStatus::timed_out);
-    else
+    } else {
       fail(ExchangeStatus::broken);
+    }
   }
 
   bool bodyIsBuffered() const {
-    if (parser_->is_done())
+    if (parser_->is_done()) {
       return true;
+    }
     const auto& message = parser_->get();
     const auto length = message.find(http::field::content_length);
-    if (length == message.end())
+    if (length == message.end()) {
       return false;
+    }
     return read_buffer_.size() >= std::strtoull(std::string(length->value()).c_str(), nullptr, 10);
   }
 
@@ -311,8 +331,9 @@
   bool nothingToRead() {
     error_code error;
     socket_.non_blocking(true, error);
-    if (error)
+    if (error) {
       return false;
+    }
     char byte = 0;
     socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
     return error == asio::error::would_block;
@@ -326,8 +347,9 @@
     response.completion = ExchangeStatus::answered;
     response.status = static_cast<int>(message.result_int());
     response.body = message.body();
-    for (const auto& field : message)
+    for (const auto& field : message) {
       response.fields.emplace_back(toLowerCase(std::string(field.name_string())), std::string(field.value()));
+    }
     return response;
   }
 
@@ -354,12 +376,14 @@
   void finish(const HttpResponse& response) {
     ++exchange_id_;
     timer_.cancel();
-    if (!keep_alive_)
+    if (!keep_alive_) {
       close();
+    }
     progress_ = {};
     const Done done = std::exchange(done_, nullptr);
-    if (done)
+    if (done) {
       done(response);
+    }
   }
 
   void close() {
--- a/src/network/socket_address.cpp
+++ b/src/network/socket_address.cpp
@@ -18,11 +18,13 @@
 std::optional<unsigned short> parsePort(const std::string& text) {
   const bool is_number = !text.empty() && text.size() <= kMaxPortDigits &&
                          text.find_first_not_of("0123456789") == std::string::npos;
-  if (!is_number)
+  if (!is_number) {
     return std::nullopt;
+  }
   const int port = std::stoi(text);
-  if (port > kMaxPort)
+  if (port > kMaxPort) {
     return std::nullopt;
+  }
   return static_cast<unsigned short>(port);
 }
 
@@ -39,8 +41,9 @@
     boost::system::error_code invalid;
     const auto ip = asio::ip::make_address(withoutBrackets(address.substr(0, colon)), invalid);
     const auto port = parsePort(address.substr(colon + 1));
-    if (!invalid && port)
+    if (!invalid && port) {
       return {ip, *port};
+    }
   }
   throw std::invalid_argument("not an address with a port: " + address);
 }
--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -40,8 +40,9 @@
                  Micros duration_ms) {
   LogLine line = recovered.damaged ? logWarning("journal", "recovered") : logInfo("journal", "recovered");
   line.field("messages", messages).field("pending_notices", pending_notices);
-  for (const RecoveryReport::Field& field : recovered.report.fields())
+  for (const RecoveryReport::Field& field : recovered.report.fields()) {
     line.field(field.name, field.value);
+  }
   line.field("duration_ms", duration_ms);
 }
 
@@ -79,10 +80,11 @@
   recoverEndpointList(configured_endpoints, recovered.endpoint_list);
   recoverHealth(recovered.health_records, after_handover);
   for (const JournalEntry& entry : recovered.entries) {
-    if (entry.notice_pending)
+    if (entry.notice_pending) {
       notifier_.enqueue(entry.message.id, entry.notice);
-    else
+    } else {
       recoverMessage(entry, calls_in_flight, after_handover);
+    }
   }
   logRecovery(recovered, pending_messages_.size(), notifier_.pending(), (monotonicNow() - started_at) / 1000);
   journal_.releaseRecovered();
@@ -93,10 +95,12 @@
                                          const std::string& journaled_list) {
   json list = configured_endpoints;
   const json journaled = json::parse(journaled_list, nullptr, false);
-  if (journaled.is_object() && (!list.is_object() || listIndex(journaled) >= listIndex(list)))
+  if (journaled.is_object() && (!list.is_object() || listIndex(journaled) >= listIndex(list))) {
     list = journaled;
-  if (!list.is_object() || list.empty())
+  }
+  if (!list.is_object() || list.empty()) {
     return;
+  }
   EndpointListUpdate update = endpoint_list_.apply(list);
   update.kind = EndpointUpdateKind::cached;
   applyEndpointUpdate(update);
@@ -104,8 +108,9 @@
 
 void DecisionDriver::recoverHealth(const std::vector<HealthRecord>& records, bool after_handover) {
   for (HealthRecord record : records) {
-    if (!after_handover)
+    if (!after_handover) {
       record.retry_after_until = 0;
+    }
     addEvent(std::move(record));
   }
 }
@@ -121,8 +126,9 @@
   for (const JournaledAttempt& attempt : entry.attempts) {
     const CallId call{entry.message.id, static_cast<int>(recovered.attempts.size())};
     const bool in_flight = !attempt.never_ran && calls_in_flight.count(call) > 0;
-    if (in_flight && !endpoint_list_.contains(attempt.endpoint))
+    if (in_flight && !endpoint_list_.contains(attempt.endpoint)) {
       addUnlistedEndpoint(attempt.endpoint, entry.message.destination);
+    }
     pending.attempt_endpoints.push_back(attempt.endpoint);
     recovered.attempts.push_back({attempt.endpoint, attempt.sent_at, !attempt.never_ran, in_flight});
   }
@@ -151,8 +157,9 @@
 }
 
 void DecisionDriver::applyEndpointUpdate(const EndpointListUpdate& update) {
-  if (update.kind != EndpointUpdateKind::delta)
+  if (update.kind != EndpointUpdateKind::delta) {
     withdrawUnlistedEndpoints();
+  }
   EndpointsChanged changed;
   changed.kind = update.kind;
   for (const ListedEndpoint& listed : update.endpoints) {
@@ -165,8 +172,9 @@
 // What a full list does not name has been removed.
 void DecisionDriver::withdrawUnlistedEndpoints() {
   for (const std::string& endpoint : endpoints_.knownEndpoints()) {
-    if (endpoint_list_.contains(endpoint))
+    if (endpoint_list_.contains(endpoint)) {
       continue;
+    }
     endpoints_.closeIdle(endpoint);
     endpoints_.onEndpointDraining(endpoint);
   }
@@ -175,12 +183,14 @@
 void DecisionDriver::updateEndpoint(const ListedEndpoint& listed) {
   const EndpointInfo& endpoint = listed.endpoint;
   known_destinations_.insert(endpoint.destination);
-  if (endpoint.state == EndpointState::removed)
+  if (endpoint.state == EndpointState::removed) {
     endpoints_.closeIdle(endpoint.id);
-  else
+  } else {
     endpoints_.setAddress(endpoint.id, listed.address, hasIndependentRoutes(endpoint.kind));
-  if (endpoint.state != EndpointState::ready)
+  }
+  if (endpoint.state != EndpointState::ready) {
     endpoints_.onEndpointDraining(endpoint.id);
+  }
 }
 
 bool DecisionDriver::hasIndependentRoutes(const std::string& destination_kind) const {
@@ -213,15 +223,19 @@
   const bool known_class =
       std::any_of(settings_.classes.begin(), settings_.classes.end(),
                   [&](const MessageClass& candidate) { return candidate.name == message.message_class; });
-  if (!known_class)
+  if (!known_class) {
     return SubmitReply{SubmitStatus::unknown_class};
-  if (!hasEndpointList())
+  }
+  if (!hasEndpointList()) {
     return SubmitReply{SubmitStatus::busy, settings_.max_retry_after};
-  if (known_destinations_.count(message.destination) == 0)
+  }
+  if (known_destinations_.count(message.destination) == 0) {
     return SubmitReply{SubmitStatus::unknown_destination};
+  }
   const auto submitted_before = pending_messages_.find(message.id);
-  if (submitted_before == pending_messages_.end())
+  if (submitted_before == pending_messages_.end()) {
     return std::nullopt;
+  }
   const bool unanswered = static_cast<bool>(submitted_before->second.reply);
   return SubmitReply{unanswered ? SubmitStatus::duplicate : SubmitStatus::accepted};
 }
@@ -232,11 +246,13 @@
     const PendingMessage& pending = it->second;
     // Another process may have received the Retry-After: calls of this process that are not written yet have
     // to respect it, too.
-    if (outcome.retry_after > 0 && outcome.attempt < static_cast<int>(pending.attempt_endpoints.size()))
+    if (outcome.retry_after > 0 && outcome.attempt < static_cast<int>(pending.attempt_endpoints.size())) {
       endpoints_.onRetryAfter(pending.attempt_endpoints[static_cast<std::size_t>(outcome.attempt)],
                               pending.message.destination);
-    if (!outcome.still_in_flight)
+    }
+    if (!outcome.still_in_flight) {
       recordOutcome(outcome);
+    }
   }
   addEvent(std::move(outcome));
 }
@@ -263,19 +279,22 @@
 // ---- Turns
 
 void DecisionDriver::addEvent(Event event) {
-  if (stepped_down_)
+  if (stepped_down_) {
     return;
+  }
   events_.push_back(std::move(event));
-  if (!turn_scheduled_)
+  if (!turn_scheduled_) {
     scheduleTurn();
+  }
 }
 
 // At once, or when the shortest gap between two turns (Settings::tick) has passed.
 void DecisionDriver::scheduleTurn() {
   turn_scheduled_ = true;
   const auto run_if_still_due = [this] {
-    if (turn_scheduled_ && !stepped_down_)
+    if (turn_scheduled_ && !stepped_down_) {
       runTurn();
+    }
   };
   const Micros delay = last_turn_ + settings_.tick - monotonicNow();
   if (delay <= 0) {
@@ -284,8 +303,9 @@
   }
   turn_timer_.expires_after(std::chrono::microseconds(delay));
   turn_timer_.async_wait([run_if_still_due](const boost::system::error_code& cancelled) {
-    if (!cancelled)
+    if (!cancelled) {
       run_if_still_due();
+    }
   });
 }
 
@@ -299,8 +319,9 @@
 }
 
 void DecisionDriver::stepDown() {
-  if (!events_.empty())
+  if (!events_.empty()) {
     runTurn();
+  }
   journal_.close();
   stepped_down_ = true;
   wakeup_times_.clear();
@@ -317,8 +338,9 @@
   recordAcceptedMessages();
   const AttemptNumbers attempts = recordAttempts(actions);
   const bool persisted = journal_.flush();
-  if (!persisted)
+  if (!persisted) {
     logFlushFailure(journal_);
+  }
   acknowledgeAcceptedMessages(persisted);
   useNetworkAndTimers(actions, attempts, persisted);
   armWakeupTimer();
@@ -342,8 +364,9 @@
 void DecisionDriver::endMessage(const std::string& id, const SubmitReply& reply,
                                 const CompletionNotice& notice) {
   const auto it = pending_messages_.find(id);
-  if (it == pending_messages_.end())
+  if (it == pending_messages_.end()) {
     return;
+  }
   const ClientServer::Reply send_reply = std::move(it->second.reply);
   pending_messages_.erase(it);
   if (send_reply) {
@@ -356,19 +379,22 @@
 }
 
 void DecisionDriver::recordAcceptedMessages() {
-  for (const std::string& id : new_message_ids_)
+  for (const std::string& id : new_message_ids_) {
     journal_.recordAccepted(pending_messages_.at(id).message);
+  }
 }
 
 DecisionDriver::AttemptNumbers DecisionDriver::recordAttempts(const std::vector<Action>& actions) {
   AttemptNumbers attempts;
   for (const Action& action : actions) {
     const auto* send = std::get_if<SendAttempt>(&action);
-    if (send == nullptr)
+    if (send == nullptr) {
       continue;
+    }
     const auto it = pending_messages_.find(send->id);
-    if (it == pending_messages_.end())
+    if (it == pending_messages_.end()) {
       continue;
+    }
     journal_.recordAttempt(send->id, {send->endpoint, monotonicNow(), false});
     std::vector<std::string>& endpoints = it->second.attempt_endpoints;
     attempts.emplace(send, static_cast<int>(endpoints.size()));
@@ -398,8 +424,9 @@
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<SendAttempt>(&action)) {
       const auto attempt = attempts.find(send);
-      if (attempt != attempts.end())
+      if (attempt != attempts.end()) {
         startAttempt(*send, attempt->second, persisted);
+      }
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
       cancelAttempt(*cancel);
     } else if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
@@ -427,20 +454,23 @@
 void DecisionDriver::cancelAttempt(const CancelAttempt& cancel) {
   const CallId call{cancel.id, cancel.attempt};
   const bool in_flight_here = endpoints_.cancel(call);
-  if (!in_flight_here)
+  if (!in_flight_here) {
     cancel_elsewhere_(call);
+  }
 }
 
 // ---- Timers of the module
 
 void DecisionDriver::armWakeupTimer() {
-  if (wakeup_times_.empty())
+  if (wakeup_times_.empty()) {
     return;
+  }
   const Micros delay = std::max<Micros>(0, *wakeup_times_.begin() - monotonicNow());
   wakeup_timer_.expires_after(std::chrono::microseconds(delay));
   wakeup_timer_.async_wait([this](const boost::system::error_code& cancelled) {
-    if (!cancelled)
+    if (!cancelled) {
       onWakeupTimer();
+    }
   });
 }
 
@@ -448,8 +478,9 @@
   const auto first_later = wakeup_times_.upper_bound(monotonicNow());
   const bool due = first_later != wakeup_times_.begin();
   wakeup_times_.erase(wakeup_times_.begin(), first_later);
-  if (due)
+  if (due) {
     addEvent(TimerFired{});
+  }
   armWakeupTimer();
 }
 
--- a/src/programs/journal_inspect.cpp
+++ b/src/programs/journal_inspect.cpp
@@ -25,16 +25,19 @@
 
 std::optional<std::string> readFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file || std::filesystem::is_directory(path))
+  if (!file || std::filesystem::is_directory(path)) {
     return std::nullopt;
+  }
   return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
 std::size_t countAttemptsThatMayHaveRun(const JournalEntry& entry) {
   std::size_t count = 0;
-  for (const delivery::JournaledAttempt& attempt : entry.attempts)
-    if (!attempt.never_ran)
+  for (const delivery::JournaledAttempt& attempt : entry.attempts) {
+    if (!attempt.never_ran) {
       ++count;
+    }
+  }
   return count;
 }
 
@@ -66,8 +69,9 @@
     }
     const std::size_t may_have_run = countAttemptsThatMayHaveRun(entry);
     ++counts.open;
-    if (may_have_run > 0)
+    if (may_have_run > 0) {
       ++counts.may_have_run;
+    }
     printOpenMessage(entry, may_have_run, now);
   }
   return counts;
@@ -82,8 +86,9 @@
 }
 
 void printDamage(const RecoveredJournal& journal) {
-  for (const ByteRange& range : journal.scan.damaged_ranges)
+  for (const ByteRange& range : journal.scan.damaged_ranges) {
     std::cout << "damaged: bytes " << range.begin << " to " << range.end << '\n';
+  }
   std::cout << journal.scan.damaged_ranges.size() << " damaged ranges, " << journal.gaps << " gaps, "
             << journal.unreadable_records << " unreadable records, " << journal.contradictory_records
             << " contradictory records, " << journal.scan.duplicate_records << " duplicate records\n";
@@ -92,8 +97,9 @@
 void printQuarantine(const std::string& folder) {
   std::error_code error;
   const auto bytes = std::filesystem::file_size(folder + "/journal.damaged", error);
-  if (!error)
+  if (!error) {
     std::cout << "journal.damaged: " << bytes << " bytes kept from earlier\n";
+  }
 }
 
 ExitCode check(const std::string& folder) {
@@ -118,8 +124,9 @@
 }
 
 ExitCode run(int argument_count, char** arguments) {
-  if (argument_count == 3 && std::string(arguments[1]) == "check")
+  if (argument_count == 3 && std::string(arguments[1]) == "check") {
     return check(arguments[2]);
+  }
   std::cerr << "usage: journal_inspect check FOLDER\n";
   return ExitCode::unreadable_or_usage;
 }
--- a/src/programs/simulator_adapter.cpp
+++ b/src/programs/simulator_adapter.cpp
@@ -37,21 +37,25 @@
   // InvalidInput.
   std::string processBatch(const std::string& line) {
     const json batch = json::parse(line, nullptr, false);
-    if (batch.is_discarded())
+    if (batch.is_discarded()) {
       throw InvalidInput(InputProblem::malformed, "", "not JSON");
-    if (!batch.is_object())
+    }
+    if (!batch.is_object()) {
       throw InvalidInput(InputProblem::wrong_type, "", "not an object");
+    }
     const Micros now = readMilliseconds(batch, "SimTimeMs");
     senders_in_batch_.clear();
-    for (const json& event : readArray(batch, "arrivals"))
+    for (const json& event : readArray(batch, "arrivals")) {
       processEvent(event);
+    }
     return json{{"cmds", decide(now)}}.dump();
   }
 
  private:
   void processEvent(const json& event) {
-    if (!event.is_object() || event.size() != 1)
+    if (!event.is_object() || event.size() != 1) {
       throw InvalidInput(InputProblem::wrong_type, "", "an event is an object of one key");
+    }
     const std::string& name = event.begin().key();
     try {
       processEvent(name, event.begin().value());
@@ -61,8 +65,9 @@
   }
 
   void processEvent(const std::string& name, const json& fields) {
-    if (!fields.is_object())
+    if (!fields.is_object()) {
       throw InvalidInput(InputProblem::wrong_type, "", "not an object");
+    }
     if (name == "Roster") {
       EndpointSheet sheet = parseRoster(fields);
       endpoint_sheets_[sheet.number] = std::move(sheet.endpoints);
@@ -74,18 +79,21 @@
       return;
     }
     const auto it = senders_.find(id);
-    if (it == senders_.end())
+    if (it == senders_.end()) {
       throw InvalidInput(InputProblem::unknown_value, "Who",
                          "instance never attached: " + std::to_string(id));
+    }
     if (name == "PowerOff") {
       senders_.erase(it);
       return;
     }
-    if (std::find(senders_in_batch_.begin(), senders_in_batch_.end(), id) == senders_in_batch_.end())
+    if (std::find(senders_in_batch_.begin(), senders_in_batch_.end(), id) == senders_in_batch_.end()) {
       senders_in_batch_.push_back(id);
+    }
     SimulatedSender& sender = it->second;
-    if (auto event = toModuleEvent(name, fields, sender.load_report_columns))
+    if (auto event = toModuleEvent(name, fields, sender.load_report_columns)) {
       sender.events.push_back(std::move(*event));
+    }
   }
 
   // Attaching a sender that runs already is a restart of it.
@@ -97,32 +105,40 @@
   // None for an event that does not matter to the module.
   std::optional<Event> toModuleEvent(const std::string& name, const json& fields,
                                      const LoadReportColumns& columns) const {
-    if (name == "Members")
+    if (name == "Members") {
       return toEndpointsChanged(parseMembers(fields));
-    if (name == "Call")
+    }
+    if (name == "Call") {
       return parseCall(fields);
-    if (name == "TimeoutFired")
+    }
+    if (name == "TimeoutFired") {
       return parseTimeoutFired(fields);
-    if (name == "Left")
+    }
+    if (name == "Left") {
       return parseLeft(fields);
-    if (name == "Reply")
+    }
+    if (name == "Reply") {
       return parseReply(fields, columns);
-    if (name == "CheckResult")
+    }
+    if (name == "CheckResult") {
       checkCheckResult(fields);
-    else if (name == "Established")
+    } else if (name == "Established") {
       checkEstablished(fields);
-    else if (name != "Whisper")
+    } else if (name != "Whisper") {
       throw InvalidInput(InputProblem::unknown_value, "", "unknown event");
+    }
     return std::nullopt;
   }
 
   EndpointsChanged toEndpointsChanged(const MembershipChange& change) const {
-    if (!change.sheet_number)
+    if (!change.sheet_number) {
       return {change.kind, {}};
+    }
     const auto sheet = endpoint_sheets_.find(*change.sheet_number);
-    if (sheet == endpoint_sheets_.end())
+    if (sheet == endpoint_sheets_.end()) {
       throw InvalidInput(InputProblem::unknown_value, "Sheet",
                          "list number never given: " + std::to_string(*change.sheet_number));
+    }
     return {change.kind, sheet->second};
   }
 
@@ -132,8 +148,9 @@
     json faults = json::array();
     for (const SimulatedSenderId id : senders_in_batch_) {
       const auto it = senders_.find(id);
-      if (it == senders_.end())  // powered off later in the batch
+      if (it == senders_.end()) {  // powered off later in the batch
         continue;
+      }
       try {
         decide(it->second, now, commands);
       } catch (const std::exception& error) {
@@ -147,11 +164,14 @@
   static void decide(SimulatedSender& sender, Micros now, json& commands) {
     std::vector<Event> events;
     events.swap(sender.events);
-    if (events.empty())
+    if (events.empty()) {
       return;
-    for (const Action& action : sender.scheduler.decide(now, events))
-      if (auto command = sender.commands.write(action))
+    }
+    for (const Action& action : sender.scheduler.decide(now, events)) {
+      if (auto command = sender.commands.write(action)) {
         commands.push_back(std::move(*command));
+      }
+    }
   }
 
   std::map<SimulatedSenderId, SimulatedSender> senders_;
--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -14,8 +14,9 @@
 };
 
 ListedEndpoint parseEndpoint(const json& entry) {
-  if (!entry.is_object())
+  if (!entry.is_object()) {
     throw InvalidInput(InputProblem::wrong_type, "endpoints", "an endpoint is not an object");
+  }
   ListedEndpoint listed;
   listed.endpoint.id = readString(entry, "name");
   listed.endpoint.zone = readString(entry, "zone", "");
@@ -30,25 +31,29 @@
 }  // namespace
 
 EndpointListUpdate EndpointList::apply(const json& answer) {
-  if (!answer.is_object())
+  if (!answer.is_object()) {
     throw InvalidInput(InputProblem::wrong_type, "", "the list is not an object");
+  }
   const std::int64_t index = readInteger(answer, "index");
   const bool is_snapshot = readBoolean(answer, "snapshot", false);
   const json& listed_entries = readArray(answer, "endpoints");
   EndpointListUpdate update;
   update.kind = is_snapshot ? EndpointUpdateKind::full : EndpointUpdateKind::delta;
-  for (const json& entry : listed_entries)
+  for (const json& entry : listed_entries) {
     update.endpoints.push_back(parseEndpoint(entry));
+  }
 
   // The whole answer has been read, so it can be applied.
-  if (is_snapshot)
+  if (is_snapshot) {
     entries_.clear();
+  }
   for (std::size_t i = 0; i < update.endpoints.size(); ++i) {
     const EndpointInfo& endpoint = update.endpoints[i].endpoint;
-    if (endpoint.state == EndpointState::removed)
+    if (endpoint.state == EndpointState::removed) {
       entries_.erase(endpoint.id);
-    else
+    } else {
       entries_[endpoint.id] = listed_entries[i];
+    }
   }
   index_ = index;
   return update;
@@ -56,8 +61,9 @@
 
 json EndpointList::toJson() const {
   json endpoints = json::array();
-  for (const auto& [name, entry] : entries_)
+  for (const auto& [name, entry] : entries_) {
     endpoints.push_back(entry);
+  }
   return {{"index", index_}, {"snapshot", true}, {"endpoints", std::move(endpoints)}};
 }
 
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -24,8 +24,9 @@
 // Passes on why a part could not be parsed as the result of the whole.
 template <class Result, class Part>
 Result stoppedBy(const Part& part) {
-  if (const auto* error = std::get_if<RespProtocolError>(&part))
+  if (const auto* error = std::get_if<RespProtocolError>(&part)) {
     return *error;
+  }
   return RespIncomplete{};
 }
 
@@ -36,16 +37,19 @@
   RespParseResult parse() {
     const LengthResult parsed_count = parseLength('*', kMaxRespArguments);
     const auto* count = std::get_if<std::size_t>(&parsed_count);
-    if (count == nullptr)
+    if (count == nullptr) {
       return stoppedBy<RespParseResult>(parsed_count);
-    if (*count == 0)
+    }
+    if (*count == 0) {
       return protocolError("empty request");
+    }
     RespRequest request;
     while (request.arguments.size() < *count) {
       ArgumentResult parsed_argument = parseArgument();
       auto* argument = std::get_if<std::string>(&parsed_argument);
-      if (argument == nullptr)
+      if (argument == nullptr) {
         return stoppedBy<RespParseResult>(parsed_argument);
+      }
       request.arguments.push_back(std::move(*argument));
     }
     request.consumed_bytes = position_;
@@ -57,15 +61,19 @@
   ArgumentResult parseArgument() {
     const LengthResult parsed_length = parseLength('$', kMaxRespArgumentBytes);
     const auto* length = std::get_if<std::size_t>(&parsed_length);
-    if (length == nullptr)
+    if (length == nullptr) {
       return stoppedBy<ArgumentResult>(parsed_length);
+    }
     arguments_size_ += *length;
-    if (arguments_size_ > 2 * kMaxRespArgumentBytes)
+    if (arguments_size_ > 2 * kMaxRespArgumentBytes) {
       return protocolError("too long");
-    if (input_.size() - position_ < *length + kLineEnd.size())
+    }
+    if (input_.size() - position_ < *length + kLineEnd.size()) {
       return RespIncomplete{};
-    if (input_.substr(position_ + *length, kLineEnd.size()) != kLineEnd)
+    }
+    if (input_.substr(position_ + *length, kLineEnd.size()) != kLineEnd) {
       return protocolError("a string without its end");
+    }
     std::string argument(input_.substr(position_, *length));
     position_ += *length + kLineEnd.size();
     return argument;
@@ -73,10 +81,12 @@
 
   // "<prefix><digits>\r\n". A length that can only turn out invalid is rejected before its line is complete.
   LengthResult parseLength(char prefix, std::size_t max) {
-    if (position_ >= input_.size())
+    if (position_ >= input_.size()) {
       return RespIncomplete{};
-    if (input_[position_] != prefix)
+    }
+    if (input_[position_] != prefix) {
       return protocolError(std::string("expected '") + prefix + "'");
+    }
     std::size_t end = position_ + 1;
     std::size_t value = 0;
     std::size_t digits = 0;
@@ -85,14 +95,18 @@
       ++digits;
       ++end;
     }
-    if (end < input_.size() && (input_[end] != '\r' || digits == 0))
+    if (end < input_.size() && (input_[end] != '\r' || digits == 0)) {
       return protocolError("invalid length");
-    if (value > max)
+    }
+    if (value > max) {
       return protocolError("too long");
-    if (end + 1 >= input_.size())
+    }
+    if (end + 1 >= input_.size()) {
       return RespIncomplete{};
-    if (input_[end + 1] != '\n')
+    }
+    if (input_[end + 1] != '\n') {
       return protocolError("invalid length");
+    }
     position_ = end + kLineEnd.size();
     return value;
   }
--- a/src/protocol/simulator_wire.cpp
+++ b/src/protocol/simulator_wire.cpp
@@ -28,14 +28,17 @@
 LoadReportColumns parseLoadReportColumns(const json& options) {
   LoadReportColumns columns;
   const json& stats = readOptionalObject(options, "Stats");
-  if (isAbsent(stats, "Fields"))
+  if (isAbsent(stats, "Fields")) {
     return columns;
+  }
   int column = 0;
   for (const json& name : readArray(stats, "Fields")) {
-    if (name == "x0")
+    if (name == "x0") {
       columns.remaining_share = column;
-    if (name == "x1")
+    }
+    if (name == "x1") {
       columns.limit_per_second = column;
+    }
     ++column;
   }
   return columns;
@@ -82,19 +85,22 @@
 
 // What is missing from the row, or not a number, counts as 0.
 double valueAt(const json& row, int column) {
-  if (column < 0 || column >= static_cast<int>(row.size()))
+  if (column < 0 || column >= static_cast<int>(row.size())) {
     return 0;
+  }
   const json& value = row[static_cast<std::size_t>(column)];
   return value.is_number() ? value.get<double>() : 0;
 }
 
 std::optional<LoadReport> parseGauge(const json& fields, const LoadReportColumns& columns) {
-  if (isAbsent(fields, "Gauge"))
+  if (isAbsent(fields, "Gauge")) {
     return std::nullopt;
+  }
   const json& row = readArray(fields, "Gauge");
   if (columns.remaining_share == LoadReportColumns::kAbsent &&
-      columns.limit_per_second == LoadReportColumns::kAbsent)
+      columns.limit_per_second == LoadReportColumns::kAbsent) {
     return std::nullopt;
+  }
   return LoadReport{valueAt(row, columns.remaining_share), valueAt(row, columns.limit_per_second)};
 }
 
@@ -113,8 +119,9 @@
 
 EndpointSheet parseRoster(const json& fields) {
   EndpointSheet sheet;
-  for (const json& member : readArray(fields, "Members"))
+  for (const json& member : readArray(fields, "Members")) {
     sheet.endpoints.push_back(parseMember(member));
+  }
   sheet.number = readInteger(fields, "Sheet");
   return sheet;
 }
@@ -122,8 +129,9 @@
 MembershipChange parseMembers(const json& fields) {
   MembershipChange change;
   change.kind = parseKind(fields);
-  if (change.kind != EndpointUpdateKind::failed)
+  if (change.kind != EndpointUpdateKind::failed) {
     change.sheet_number = readInteger(fields, "Sheet");
+  }
   return change;
 }
 
@@ -132,8 +140,9 @@
   arrival.id = readString(fields, "OpId");
   arrival.message_class = readString(fields, "TierClass");
   const bool has_tenant = !isAbsent(fields, "Billing") && fields["Billing"].is_string();
-  if (has_tenant)
+  if (has_tenant) {
     arrival.tenant = readString(fields, "Billing");
+  }
   arrival.order_key = readString(fields, "RouteKey", "");
   arrival.destination = static_cast<std::int64_t>(readNumber(fields, "FarEnd"));
   arrival.deadline = Deadline(readMilliseconds(fields, "GiveUpAtMs"));
@@ -157,8 +166,9 @@
   outcome.attempt = static_cast<int>(readInteger(fields, "Attempt"));
   outcome.result = parseResult(fields);
   outcome.finished = readBoolean(fields, "Finished", false);
-  if (outcome.result == AttemptResult::throttled)
+  if (outcome.result == AttemptResult::throttled) {
     outcome.retry_after = readMilliseconds(fields, "Detail", 0);
+  }
   outcome.round_trip_time = readMilliseconds(fields, "RttMs", 0);
   outcome.load_report = parseGauge(fields, columns);
   return outcome;
@@ -175,25 +185,31 @@
 // ---- Commands
 
 std::optional<json> SimulatorCommandWriter::write(const Action& action) {
-  if (const auto* send = std::get_if<SendAttempt>(&action))
+  if (const auto* send = std::get_if<SendAttempt>(&action)) {
     return json{{"SubmitTo",
                  {{"Who", sender_},
                   {"OpId", send->id},
                   {"Endpoint", send->endpoint},
                   {"WithinMs", millisecondsFromMicros(send->timeout)}}}};
-  if (const auto* cancel = std::get_if<CancelAttempt>(&action))
+  }
+  if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
     return json{{"StopAttempt", {{"Who", sender_}, {"OpId", cancel->id}, {"Attempt", cancel->attempt}}}};
-  if (const auto* reject = std::get_if<Reject>(&action))
+  }
+  if (const auto* reject = std::get_if<Reject>(&action)) {
     return json{{"Decline",
                  {{"Who", sender_},
                   {"OpId", reject->id},
                   {"CoolDownMs", millisecondsFromMicros(reject->retry_after)}}}};
-  if (const auto* fail = std::get_if<Fail>(&action))
+  }
+  if (const auto* fail = std::get_if<Fail>(&action)) {
     return json{{"FinishError", {{"Who", sender_}, {"OpId", fail->id}}}};
-  if (std::holds_alternative<SubscribeEndpoints>(action))
+  }
+  if (std::holds_alternative<SubscribeEndpoints>(action)) {
     return json{{"Watch", {{"Who", sender_}, {"Active", true}}}};
-  if (const auto* close = std::get_if<CloseIdleConnections>(&action))
+  }
+  if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
     return json{{"Disconnect", {{"Who", sender_}, {"Endpoint", close->endpoint}}}};
+  }
   if (const auto* timer = std::get_if<SetTimer>(&action)) {
     ++last_timer_label_;
     return json{
--- a/src/storage/damage_quarantine.cpp
+++ b/src/storage/damage_quarantine.cpp
@@ -15,13 +15,15 @@
   const int create_if_needed = ranges.empty() ? 0 : O_CREAT;
   const FileDescriptor file(files_, files_.open(path_, O_WRONLY | O_APPEND | create_if_needed));
   Result result;
-  if (!file.isOpen())
+  if (!file.isOpen()) {
     return result;
+  }
   result.opened = true;
   const off_t size = files_.size(file.get());
   result.file_bytes = size < 0 ? 0 : static_cast<std::uint64_t>(size);
-  for (const ByteRange& range : ranges)
+  for (const ByteRange& range : ranges) {
     storeRange(file, data, range, result);
+  }
   return result;
 }
 
@@ -34,12 +36,14 @@
     result.dropped_bytes += kept.size() - room;
     kept.resize(room);
   }
-  if (kept.empty())
+  if (kept.empty()) {
     return;
-  if (writeAll(files_, file, kept))
+  }
+  if (writeAll(files_, file, kept)) {
     result.file_bytes += kept.size();
-  else
+  } else {
     result.dropped_bytes += kept.size();
+  }
 }
 
 }  // namespace delivery
--- a/src/storage/file_system.cpp
+++ b/src/storage/file_system.cpp
@@ -67,8 +67,9 @@
     : files_(other.files_), fd_(std::exchange(other.fd_, -1)) {}
 
 FileDescriptor& FileDescriptor::operator=(FileDescriptor&& other) noexcept {
-  if (this == &other)
+  if (this == &other) {
     return *this;
+  }
   reset();
   files_ = other.files_;
   fd_ = std::exchange(other.fd_, -1);
@@ -76,8 +77,9 @@
 }
 
 void FileDescriptor::reset() {
-  if (fd_ < 0)
+  if (fd_ < 0) {
     return;
+  }
   const int error_before = errno;
   files_->close(fd_);
   fd_ = -1;
@@ -87,10 +89,12 @@
 bool writeAll(FileSystem& files, const FileDescriptor& file, std::string_view data) {
   while (!data.empty()) {
     const ssize_t written = files.write(file.get(), data.data(), data.size());
-    if (written < 0 && errno == EINTR)
+    if (written < 0 && errno == EINTR) {
       continue;
-    if (written <= 0)
+    }
+    if (written <= 0) {
       return false;
+    }
     data.remove_prefix(static_cast<std::size_t>(written));
   }
   return true;
@@ -101,12 +105,15 @@
   std::string buffer(kReadBufferBytes, '\0');
   for (;;) {
     const ssize_t bytes_read = files.read(file.get(), buffer.data(), buffer.size());
-    if (bytes_read < 0 && errno == EINTR)
+    if (bytes_read < 0 && errno == EINTR) {
       continue;
-    if (bytes_read < 0)
+    }
+    if (bytes_read < 0) {
       content.error = errno;
-    if (bytes_read <= 0)
+    }
+    if (bytes_read <= 0) {
       return content;
+    }
     content.data.append(buffer, 0, static_cast<std::size_t>(bytes_read));
   }
 }
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -51,11 +51,13 @@
   for (std::size_t i = 0; i < entry.attempts.size(); ++i) {
     const JournaledAttempt& attempt = entry.attempts[i];
     records.append(AttemptRecord{message_id, attempt.endpoint, attempt.sent_at});
-    if (attempt.never_ran)
+    if (attempt.never_ran) {
       records.append(AttemptNeverRanRecord{message_id, i});
+    }
   }
-  if (entry.notice_pending)
+  if (entry.notice_pending) {
     records.append(NoticePendingRecord{message_id, entry.notice});
+  }
 }
 
 }  // namespace
@@ -77,8 +79,9 @@
 }
 
 void Journal::close() {
-  if (!file_.isOpen())
+  if (!file_.isOpen()) {
     return;
+  }
   flush();
   file_.reset();
 }
@@ -88,8 +91,9 @@
 FileDescriptor Journal::openOrThrow() {
   files_.unlink(compaction_path_);  // of a compaction that was cut short: the old file is still whole
   FileDescriptor file(files_, files_.open(path_, O_RDWR | O_CREAT | O_APPEND));
-  if (!file.isOpen())
+  if (!file.isOpen()) {
     throw JournalError(FileOperation::open, path_, errno);
+  }
   return file;
 }
 
@@ -107,11 +111,13 @@
   file_size_ = size < 0 ? content.data.size() : static_cast<std::uint64_t>(size);
   quarantineDamage(content.data, journal.scan.damaged_ranges);
   truncateTornWrite(journal.scan);
-  if (!canAppendTo(journal) && !compact())
+  if (!canAppendTo(journal) && !compact()) {
     appendRecoveredDoubts();
+  }
   // The process before may have been killed between a write or a rename and its sync.
-  if (options_.durable && (files_.sync(file_.get()) != 0 || files_.syncFolder(folder_) != 0))
+  if (options_.durable && (files_.sync(file_.get()) != 0 || files_.syncFolder(folder_) != 0)) {
     rewrite_required_ = true;
+  }
   publishRecovered();
 }
 
@@ -126,18 +132,21 @@
 void Journal::quarantineDamage(const std::string& data, const std::vector<ByteRange>& damaged_ranges) {
   DamageQuarantine quarantine(files_, quarantine_path_, options_.disk_bytes / kQuarantineShareDivisor);
   const DamageQuarantine::Result result = quarantine.store(data, damaged_ranges);
-  if (!result.opened)
+  if (!result.opened) {
     return;
+  }
   recovered_.report.quarantined = !damaged_ranges.empty();
   recovered_.report.unquarantined_bytes = result.dropped_bytes;
   budget_ = DiskBudget::beside(options_.disk_bytes, result.file_bytes);
 }
 
 void Journal::truncateTornWrite(const ScanResult& scan) {
-  if (!scan.torn_write)
+  if (!scan.torn_write) {
     return;
-  if (files_.truncate(file_.get(), static_cast<off_t>(scan.sound_end)) == 0)
+  }
+  if (files_.truncate(file_.get(), static_cast<off_t>(scan.sound_end)) == 0) {
     file_size_ = scan.sound_end;
+  }
 }
 
 // Whether the file can stay as it is, and new records follow those in it.
@@ -152,21 +161,27 @@
 void Journal::appendRecoveredDoubts() {
   append(header_);
   std::vector<AttemptRecord> unknown_attempts;
-  for (const auto& [message_id, entry] : state_.entries())
-    if (lastAttemptIsUnknown(entry))
+  for (const auto& [message_id, entry] : state_.entries()) {
+    if (lastAttemptIsUnknown(entry)) {
       unknown_attempts.push_back({message_id, "", entry.attempts.back().sent_at});
-  for (const AttemptRecord& attempt : unknown_attempts)
-    if (append(attempt))
+    }
+  }
+  for (const AttemptRecord& attempt : unknown_attempts) {
+    if (append(attempt)) {
       sync_required_ = true;
+    }
+  }
   flush();
 }
 
 void Journal::publishRecovered() {
-  for (const JournalEntry* entry : state_.entriesInOrderOfAcceptance())
+  for (const JournalEntry* entry : state_.entriesInOrderOfAcceptance()) {
     recovered_.entries.push_back(*entry);
+  }
   recovered_.endpoint_list = state_.endpointList();
-  for (const auto& [key, health] : state_.healthRecords())
+  for (const auto& [key, health] : state_.healthRecords()) {
     recovered_.health_records.push_back(health);
+  }
 }
 
 // ---- Records
@@ -175,35 +190,41 @@
   const std::uint64_t reserved = reserved_bytes_ + bytesToReserve(message);
   const std::uint64_t live = live_bytes_ + reserved;
   // A compacted file holds what is live, and the next compaction writes as much again beside it.
-  if (!budget_.allowsCompaction(live, live))
+  if (!budget_.allowsCompaction(live, live)) {
     return false;
+  }
   if (!budget_.allowsCompaction(file_size_ + buffer_.size() + reserved, live)) {
-    if (!compact())
+    if (!compact()) {
       return false;
-    if (!budget_.allowsCompaction(file_size_ + reserved, live))
+    }
+    if (!budget_.allowsCompaction(file_size_ + reserved, live)) {
       return false;
+    }
   }
   reserved_bytes_ = reserved;
   return true;
 }
 
 bool Journal::append(const Record& record) {
-  if (state_.apply(record) != JournalState::ApplyResult::applied)
+  if (state_.apply(record) != JournalState::ApplyResult::applied) {
     return false;
+  }
   buffer_.append(record);
   return true;
 }
 
 void Journal::recordAccepted(const AcceptedMessage& message) {
-  if (!append(AcceptedRecord{message}))
+  if (!append(AcceptedRecord{message})) {
     return;
+  }
   live_bytes_ += bytesToReserve(message);
   sync_required_ = true;
 }
 
 void Journal::recordAttempt(const std::string& message_id, const JournaledAttempt& attempt) {
-  if (append(AttemptRecord{message_id, attempt.endpoint, attempt.sent_at}))
+  if (append(AttemptRecord{message_id, attempt.endpoint, attempt.sent_at})) {
     sync_required_ = true;
+  }
 }
 
 void Journal::recordNeverRan(const std::string& message_id, std::size_t attempt_index) {
@@ -217,8 +238,9 @@
 
 void Journal::recordCompleted(const std::string& message_id) {
   const JournalEntry* entry = state_.find(message_id);
-  if (entry == nullptr)
+  if (entry == nullptr) {
     return;
+  }
   live_bytes_ -= bytesToReserve(entry->message);
   append(CompletedRecord{message_id});
 }
@@ -236,8 +258,9 @@
 std::uint64_t Journal::liveBytes() const {
   std::uint64_t live = kMaxHeaderRecordBytes + kFrameOverheadBytes + state_.endpointList().size() +
                        state_.healthRecords().size() * kMaxHealthRecordBytes;
-  for (const auto& [message_id, entry] : state_.entries())
+  for (const auto& [message_id, entry] : state_.entries()) {
     live += bytesToReserve(entry.message);
+  }
   return live;
 }
 
@@ -246,16 +269,18 @@
 bool Journal::flush() {
   reserved_bytes_ = 0;
   flush_error_.reset();
-  if (buffer_.empty() && !rewrite_required_)
+  if (buffer_.empty() && !rewrite_required_) {
     return true;
+  }
   const std::uint64_t size_after = file_size_ + buffer_.size();
   const bool must_compact = rewrite_required_ || !budget_.allowsCompaction(size_after, live_bytes_);
   if ((must_compact || isWorthCompacting(size_after)) && compact()) {
     flush_error_.reset();
     return true;
   }
-  if (rewrite_required_ || !budget_.fits(size_after))
+  if (rewrite_required_ || !budget_.fits(size_after)) {
     return false;
+  }
   flush_error_.reset();  // of a compaction that can wait
   return appendToFile();
 }
@@ -281,10 +306,12 @@
 }
 
 bool Journal::syncIfRequired() {
-  if (!options_.durable || !sync_required_)
+  if (!options_.durable || !sync_required_) {
     return true;
-  if (files_.sync(file_.get()) != 0)
+  }
+  if (files_.sync(file_.get()) != 0) {
     return failed(FileOperation::sync, path_);
+  }
   return true;
 }
 
@@ -293,8 +320,9 @@
 void Journal::undoFailedAppend() {
   if (files_.truncate(file_.get(), static_cast<off_t>(file_size_)) != 0) {
     const off_t size = files_.size(file_.get());
-    if (size >= 0)
+    if (size >= 0) {
       file_size_ = static_cast<std::uint64_t>(size);
+    }
   }
   rewrite_required_ = rewrite_required_ || options_.durable;
 }
@@ -303,37 +331,44 @@
 // whole.
 bool Journal::compact() {
   const RecordBuffer records = compactedRecords();
-  if (!budget_.fitsTogether(file_size_, records.size()))
+  if (!budget_.fitsTogether(file_size_, records.size())) {
     return false;
-  if (!replaceFile(records.data()))
+  }
+  if (!replaceFile(records.data())) {
     return false;
+  }
   file_size_ = records.size();
   buffer_ = RecordBuffer(clock_, records.nextSequenceNumber());
   sync_required_ = false;
   live_bytes_ = liveBytes();
   // A name that is not on the disk may be lost in a power cut, and the old file be back.
   rewrite_required_ = options_.durable && files_.syncFolder(folder_) != 0;
-  if (rewrite_required_)
+  if (rewrite_required_) {
     failed(FileOperation::sync, folder_);
+  }
   return !rewrite_required_;
 }
 
 RecordBuffer Journal::compactedRecords() const {
   RecordBuffer records(clock_, buffer_.nextSequenceNumber());
   records.append(header_);
-  if (!state_.endpointList().empty())
+  if (!state_.endpointList().empty()) {
     records.append(EndpointListRecord{state_.endpointList()});
-  for (const auto& [key, health] : state_.healthRecords())
+  }
+  for (const auto& [key, health] : state_.healthRecords()) {
     records.append(HealthStateRecord{health});
-  for (const JournalEntry* entry : state_.entriesInOrderOfAcceptance())
+  }
+  for (const JournalEntry* entry : state_.entriesInOrderOfAcceptance()) {
     appendEntry(records, *entry);
+  }
   return records;
 }
 
 bool Journal::replaceFile(const std::string& content) {
   FileDescriptor compacted(files_, files_.open(compaction_path_, O_RDWR | O_CREAT | O_TRUNC | O_APPEND));
-  if (!compacted.isOpen())
+  if (!compacted.isOpen()) {
     return failed(FileOperation::open, compaction_path_);
+  }
   if (!moveIntoPlace(compacted, content)) {
     compacted.reset();
     files_.unlink(compaction_path_);
@@ -344,12 +379,15 @@
 }
 
 bool Journal::moveIntoPlace(const FileDescriptor& compacted, const std::string& content) {
-  if (!writeAll(files_, compacted, content))
+  if (!writeAll(files_, compacted, content)) {
     return failed(FileOperation::write, compaction_path_);
-  if (options_.durable && files_.sync(compacted.get()) != 0)
+  }
+  if (options_.durable && files_.sync(compacted.get()) != 0) {
     return failed(FileOperation::sync, compaction_path_);
-  if (files_.rename(compaction_path_, path_) != 0)
+  }
+  if (files_.rename(compaction_path_, path_) != 0) {
     return failed(FileOperation::rename, compaction_path_);
+  }
   return true;
 }
 
--- a/src/storage/journal_state.cpp
+++ b/src/storage/journal_state.cpp
@@ -25,8 +25,9 @@
 }
 
 JournalState::ApplyResult JournalState::applyRecord(AcceptedRecord& record) {
-  if (find(record.message.id) != nullptr)
+  if (find(record.message.id) != nullptr) {
     return ApplyResult::contradictory;  // the attempts of the open message must not be forgotten
+  }
   const std::string message_id = record.message.id;
   JournalEntry& entry = entries_[message_id];
   entry.message = std::move(record.message);
@@ -36,24 +37,27 @@
 
 JournalState::ApplyResult JournalState::applyRecord(AttemptRecord& record) {
   JournalEntry* entry = findMutable(record.message_id);
-  if (entry == nullptr || entry->notice_pending)
+  if (entry == nullptr || entry->notice_pending) {
     return ApplyResult::contradictory;
+  }
   entry->attempts.push_back({std::move(record.endpoint), record.sent_at, false});
   return ApplyResult::applied;
 }
 
 JournalState::ApplyResult JournalState::applyRecord(AttemptNeverRanRecord& record) {
   JournalEntry* entry = findMutable(record.message_id);
-  if (entry == nullptr || record.attempt_index >= entry->attempts.size())
+  if (entry == nullptr || record.attempt_index >= entry->attempts.size()) {
     return ApplyResult::contradictory;
+  }
   entry->attempts[record.attempt_index].never_ran = true;
   return ApplyResult::applied;
 }
 
 JournalState::ApplyResult JournalState::applyRecord(NoticePendingRecord& record) {
   JournalEntry* entry = findMutable(record.message_id);
-  if (entry == nullptr || entry->notice_pending)
+  if (entry == nullptr || entry->notice_pending) {
     return ApplyResult::contradictory;
+  }
   entry->notice_pending = true;
   entry->notice = record.notice;
   return ApplyResult::applied;
@@ -77,8 +81,9 @@
 
 void JournalState::assumeUnknownAttempts() {
   for (auto& [message_id, entry] : entries_) {
-    if (entry.notice_pending)
+    if (entry.notice_pending) {
       continue;
+    }
     const Micros sent_at = entry.attempts.empty() ? kUnknownAttemptTime : entry.attempts.back().sent_at;
     entry.attempts.push_back({"", sent_at, false});
   }
@@ -87,16 +92,18 @@
 void JournalState::limitDeadlines(Micros now) {
   for (auto& [message_id, entry] : entries_) {
     AcceptedMessage& message = entry.message;
-    if (message.time_to_live > 0)
+    if (message.time_to_live > 0) {
       message.deadline = std::min(message.deadline, Deadline::after(now, message.time_to_live));
+    }
   }
 }
 
 std::vector<const JournalEntry*> JournalState::entriesInOrderOfAcceptance() const {
   std::vector<const JournalEntry*> ordered;
   ordered.reserve(entries_.size());
-  for (const auto& [message_id, entry] : entries_)
+  for (const auto& [message_id, entry] : entries_) {
     ordered.push_back(&entry);
+  }
   std::sort(ordered.begin(), ordered.end(), [](const JournalEntry* a, const JournalEntry* b) {
     return a->acceptance_order < b->acceptance_order;
   });
--- a/src/storage/little_endian.h
+++ b/src/storage/little_endian.h
@@ -9,8 +9,9 @@
 
 template <class Unsigned>
 void appendLittleEndian(std::string& out, Unsigned value) {
-  for (std::size_t i = 0; i < sizeof value; ++i)
+  for (std::size_t i = 0; i < sizeof value; ++i) {
     out.push_back(static_cast<char>(value >> (8 * i) & 0xff));
+  }
 }
 
 // The caller makes sure that `in` holds sizeof(Unsigned) bytes from `offset` on.
--- a/src/storage/record_codec.cpp
+++ b/src/storage/record_codec.cpp
@@ -42,8 +42,9 @@
   bool boolean() { return index() != 0; }
   std::string text() {
     const std::uint64_t length = version_ == 1 ? next<std::uint64_t>() : next<std::uint32_t>();
-    if (length > remaining())
+    if (length > remaining()) {
       throw RecordDecodeError(RecordDecodeError::Reason::too_short);
+    }
     std::string value(payload_.substr(offset_, length));
     offset_ += length;
     return value;
@@ -56,8 +57,9 @@
 
   template <class Unsigned>
   Unsigned next() {
-    if (remaining() < sizeof(Unsigned))
+    if (remaining() < sizeof(Unsigned)) {
       throw RecordDecodeError(RecordDecodeError::Reason::too_short);
+    }
     const auto value = readLittleEndian<Unsigned>(payload_, offset_);
     offset_ += sizeof(Unsigned);
     return value;
@@ -155,10 +157,12 @@
   message.destination = reader.integer();
   message.deadline = clock.deadlineFromStored(reader.integer());
   message.is_retry = reader.boolean();
-  if (reader.hasMore())
+  if (reader.hasMore()) {
     message.tenant = reader.text();
-  if (reader.hasMore())
+  }
+  if (reader.hasMore()) {
     message.time_to_live = reader.integer();
+  }
   return record;
 }
 
@@ -198,8 +202,9 @@
 
 FileHeader decodeSupportedFileHeader(std::string_view payload) {
   FileHeader header = decodeFileHeader(payload);
-  if (header.version > kJournalVersion)
+  if (header.version > kJournalVersion) {
     throw RecordDecodeError(RecordDecodeError::Reason::newer_version);
+  }
   return header;
 }
 
--- a/src/storage/record_frame.cpp
+++ b/src/storage/record_frame.cpp
@@ -33,29 +33,36 @@
 // payload that was cut short can't be told from a damaged length.
 FrameParseResult parseVersion1(std::string_view data) {
   const auto length = readLittleEndian<std::uint32_t>(data, kLengthOffset);
-  if (length < 1 || length > kMaxPayloadBytes || length > data.size() - kHeadBytesVersion1)
+  if (length < 1 || length > kMaxPayloadBytes || length > data.size() - kHeadBytesVersion1) {
     return withStatus(FrameParseResult::Status::invalid);
+  }
   const std::string_view payload = data.substr(kHeadBytesVersion1, length);
-  if (crc32(payload) != readLittleEndian<std::uint32_t>(data, kPayloadChecksumOffset))
+  if (crc32(payload) != readLittleEndian<std::uint32_t>(data, kPayloadChecksumOffset)) {
     return withStatus(FrameParseResult::Status::invalid);
+  }
   return {FrameParseResult::Status::valid, {0, 1, payload}, kHeadBytesVersion1 + length};
 }
 
 // `data` begins with a mark and holds at least a head of version 1.
 FrameParseResult parseVersion2(std::string_view data) {
-  if (data.size() < kFrameHeadBytes)
+  if (data.size() < kFrameHeadBytes) {
     return withStatus(FrameParseResult::Status::invalid);
+  }
   const std::string_view checked_head = data.substr(0, kHeadChecksumOffset);
-  if (crc32(checked_head) != readLittleEndian<std::uint32_t>(data, kHeadChecksumOffset))
+  if (crc32(checked_head) != readLittleEndian<std::uint32_t>(data, kHeadChecksumOffset)) {
     return withStatus(FrameParseResult::Status::invalid);
+  }
   const auto length = readLittleEndian<std::uint32_t>(data, kLengthOffset);
-  if (length <= kSequenceNumberBytes || length > kMaxPayloadBytes)
+  if (length <= kSequenceNumberBytes || length > kMaxPayloadBytes) {
     return withStatus(FrameParseResult::Status::invalid);
-  if (length > data.size() - kFrameHeadBytes)
+  }
+  if (length > data.size() - kFrameHeadBytes) {
     return withStatus(FrameParseResult::Status::truncated);
+  }
   const std::string_view numbered_payload = data.substr(kFrameHeadBytes, length);
-  if (crc32(numbered_payload) != readLittleEndian<std::uint32_t>(data, kPayloadChecksumOffset))
+  if (crc32(numbered_payload) != readLittleEndian<std::uint32_t>(data, kPayloadChecksumOffset)) {
     return withStatus(FrameParseResult::Status::invalid);
+  }
   const FramedRecord record{readLittleEndian<std::uint64_t>(numbered_payload, 0), kJournalVersion,
                             numbered_payload.substr(kSequenceNumberBytes)};
   return {FrameParseResult::Status::valid, record, kFrameHeadBytes + length};
@@ -78,8 +85,9 @@
 
 FrameParseResult parseFrame(std::string_view data, std::size_t offset) {
   const std::string_view rest = data.substr(offset);
-  if (rest.size() < kHeadBytesVersion1 || rest.substr(0, kFrameMark.size()) != kFrameMark)
+  if (rest.size() < kHeadBytesVersion1 || rest.substr(0, kFrameMark.size()) != kFrameMark) {
     return withStatus(FrameParseResult::Status::invalid);
+  }
   switch (rest[kVersionOffset]) {
     case '1':
       return parseVersion1(rest);
--- a/src/storage/record_scanner.cpp
+++ b/src/storage/record_scanner.cpp
@@ -13,10 +13,12 @@
   explicit RecordScanner(std::string_view data) : data_(data) {}
 
   ScanResult scan() {
-    while (offset_ < data_.size())
+    while (offset_ < data_.size()) {
       step();
-    if (unreadable_from_)
+    }
+    if (unreadable_from_) {
       classifyTail();
+    }
     sortAndDropDuplicates();
     return std::move(result_);
   }
@@ -24,18 +26,21 @@
  private:
   void step() {
     const FrameParseResult frame = parseFrame(data_, offset_);
-    if (frame.status == FrameParseResult::Status::valid)
+    if (frame.status == FrameParseResult::Status::valid) {
       takeRecord(frame);
-    else
+    } else {
       skipToNextMark(frame.status);
+    }
   }
 
   void takeRecord(const FrameParseResult& frame) {
     FramedRecord record = frame.record;
-    if (record.version == 1)
+    if (record.version == 1) {
       record.sequence_number = nextVersion1Number();
-    if (unreadable_from_)
+    }
+    if (unreadable_from_) {
       result_.damaged_ranges.push_back({*unreadable_from_, offset_});
+    }
     unreadable_from_.reset();
     last_number_ = record.sequence_number;
     result_.records.push_back(record);
@@ -60,8 +65,9 @@
     const bool ends_in_version_1 = !result_.records.empty() && result_.records.back().version == 1;
     result_.torn_write = looks_torn_ || ends_in_version_1;
     result_.damaged_tail = !result_.torn_write;
-    if (result_.damaged_tail)
+    if (result_.damaged_tail) {
       result_.damaged_ranges.push_back({*unreadable_from_, data_.size()});
+    }
   }
 
   void sortAndDropDuplicates() {
--- a/src/storage/recovery.cpp
+++ b/src/storage/recovery.cpp
@@ -21,18 +21,21 @@
       apply(record);
     }
     journal_.next_sequence_number = last_sequence_number_ + 1;
-    if (journal_.scan.damaged_tail || journal_.power_cut)
+    if (journal_.scan.damaged_tail || journal_.power_cut) {
       journal_.state.assumeUnknownAttempts();
-    if (!journal_.clock_continues)
+    }
+    if (!journal_.clock_continues) {
       journal_.state.limitDeadlines(now_.monotonic);
+    }
     return std::move(journal_);
   }
 
  private:
   void findNewestHeader() {
     for (const FramedRecord& record : journal_.scan.records) {
-      if (record.version == 1)
+      if (record.version == 1) {
         continue;
+      }
       try {
         readHeaderOrAttemptTime(record);
       } catch (const RecordDecodeError&) {
@@ -44,8 +47,9 @@
 
   void readHeaderOrAttemptTime(const FramedRecord& record) {
     const RecordType type = recordTypeOf(record.payload);
-    if (type == RecordType::file_header)
+    if (type == RecordType::file_header) {
       journal_.header = decodeFileHeader(record.payload);
+    }
     if (type == RecordType::attempt) {
       const Record attempt = decodeRecord(record.payload, record.version, PersistentClock());
       newest_time_on_disk_ = std::max(newest_time_on_disk_, std::get<AttemptRecord>(attempt).sent_at);
@@ -64,8 +68,9 @@
 
   void detectPowerCut() {
     const std::vector<FramedRecord>& records = journal_.scan.records;
-    if (records.empty() || records.back().version == 1)  // version 1 does not know its boot
+    if (records.empty() || records.back().version == 1) {  // version 1 does not know its boot
       return;
+    }
     journal_.power_cut = journal_.header.boot != now_.boot && !journal_.header.durable;
   }
 
@@ -81,8 +86,9 @@
 
   void apply(const FramedRecord& record) try {
     Record decoded = decodeRecord(record.payload, record.version, journal_.clock);
-    if (journal_.state.apply(std::move(decoded)) == JournalState::ApplyResult::contradictory)
+    if (journal_.state.apply(std::move(decoded)) == JournalState::ApplyResult::contradictory) {
       ++journal_.contradictory_records;
+    }
   } catch (const RecordDecodeError&) {
     ++journal_.unreadable_records;
     journal_.state.assumeUnknownAttempts();
--- a/src/storage/recovery_report.cpp
+++ b/src/storage/recovery_report.cpp
@@ -10,12 +10,14 @@
   void add(std::string_view name, std::string value) { fields_.push_back({name, std::move(value)}); }
   void addCount(std::string_view name, std::uint64_t count) { add(name, std::to_string(count)); }
   void addCountUnlessZero(std::string_view name, std::uint64_t count) {
-    if (count > 0)
+    if (count > 0) {
       addCount(name, count);
+    }
   }
   void addIfTrue(std::string_view name, bool value) {
-    if (value)
+    if (value) {
       add(name, "true");
+    }
   }
   std::vector<RecoveryReport::Field> take() { return std::move(fields_); }
 
@@ -27,8 +29,9 @@
 
 std::vector<RecoveryReport::Field> RecoveryReport::fields() const {
   FieldList list;
-  if (read_errno != 0)
+  if (read_errno != 0) {
     list.add("read_error", std::strerror(read_errno));
+  }
   list.addCount("records", records);
   list.addCount("bytes", bytes);
   list.addCount("damaged_ranges", damaged_ranges);
@@ -38,8 +41,9 @@
   list.addCountUnlessZero("duplicate_records", duplicate_records);
   list.addIfTrue("torn_write", torn_write);
   list.addIfTrue("power_cut", power_cut);
-  if (quarantined)
+  if (quarantined) {
     list.add("quarantine_file", "journal.damaged");
+  }
   list.addCountUnlessZero("unquarantined_bytes", unquarantined_bytes);
   return list.take();
 }
--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -15,17 +15,20 @@
   settings.classes[1].priority_weight = 4;
   SchedulerDriver driver(settings);
   driver.list({makeEndpoint("e1", 1)});
-  for (int i = 0; i < 4; ++i)
+  for (int i = 0; i < 4; ++i) {
     driver.arrive("cheap" + std::to_string(i), "safe", 1);
+  }
   std::vector<std::string> refused;
   for (int i = 0; i < 8; ++i) {
     driver.arrive("dear" + std::to_string(i), "keyed", 1);
-    for (const auto& x : driver.got<Reject>())
+    for (const auto& x : driver.got<Reject>()) {
       refused.push_back(x.id);
+    }
   }
   ASSERT_GE(refused.size(), 2u);
-  for (std::size_t i = 0; i < 2; ++i)
+  for (std::size_t i = 0; i < 2; ++i) {
     EXPECT_EQ(refused[i].substr(0, 5), "cheap");
+  }
 }
 
 TEST(Admission, ExpiredMessageIsAnsweredAndNeverSent) {
@@ -95,8 +98,9 @@
     SchedulerDriver driver(settings);
     std::vector<EndpointInfo> all;
     all.reserve(50);
-    for (int d = 0; d < 50; ++d)
+    for (int d = 0; d < 50; ++d) {
       all.emplace_back(makeEndpoint("e" + std::to_string(d), d));
+    }
     driver.list(all);
     for (int i = 0; i < 8; ++i) {
       const std::string id = "w" + std::to_string(i);
@@ -104,9 +108,11 @@
       driver.at(driver.now + 500 * kMillisecond).end(id, 0, AttemptResult::ok, 500 * kMillisecond);
     }
     std::vector<Event> heap;
-    for (int i = 0; i < 40; ++i)
-      if (busy || i < 4)
+    for (int i = 0; i < 40; ++i) {
+      if (busy || i < 4) {
         heap.emplace_back(driver.arrival("m" + std::to_string(i), "safe", i));
+      }
+    }
     driver.run(heap);
     return driver.got<Reject>().size();
   };
@@ -125,8 +131,9 @@
   settings.classes[1].priority_weight = 4;
   SchedulerDriver driver(settings);
   driver.list({makeEndpoint("e1", 1)});
-  for (int i = 0; i < 9; ++i)
+  for (int i = 0; i < 9; ++i) {
     driver.at(driver.now + 400 * kMillisecond).arrive("taken" + std::to_string(i), "safe", 1);
+  }
   ASSERT_EQ(driver.got<Reject>().size(), 0u);  // one of them is out, and all wait for it
   for (int i = 0; i < 4; ++i) {
     const std::string id = "new" + std::to_string(i);
@@ -149,29 +156,34 @@
   SchedulerDriver driver(settings);
   std::vector<EndpointInfo> all;
   all.reserve(50);
-  for (int d = 0; d < 50; ++d)
+  for (int d = 0; d < 50; ++d) {
     all.emplace_back(makeEndpoint("e" + std::to_string(d), d));
+  }
   driver.list(all);
   for (int i = 0; i < 8; ++i) {
     const std::string id = "w" + std::to_string(i);
     driver.at(driver.now + kSecond).arrive(id, "safe", i);
     driver.at(driver.now + 500 * kMillisecond).end(id, 0, AttemptResult::ok, 500 * kMillisecond);
   }
-  for (int i = 0; i < 4; ++i)
+  for (int i = 0; i < 4; ++i) {
     driver.arrive("out" + std::to_string(i), "safe", i);
-  for (int i = 4; i < 12; ++i)
+  }
+  for (int i = 4; i < 12; ++i) {
     driver.arrive("taken" + std::to_string(i), "safe", i);
+  }
   ASSERT_EQ(driver.got<Reject>().size(), 0u);  // so far the wait for a slot is short
   const Micros deadline = driver.settings.classes[0].deadline, from = driver.now;
   std::vector<std::string> refused;
   const auto take = [&] {
-    for (const Reject& x : driver.got<Reject>())
+    for (const Reject& x : driver.got<Reject>()) {
       refused.push_back(x.id);
+    }
   };
   std::vector<Event> heap;
   heap.reserve(32);
-  for (int i = 12; i < 44; ++i)
+  for (int i = 12; i < 44; ++i) {
     heap.emplace_back(driver.arrival("new" + std::to_string(i), "safe", i));
+  }
   driver.run(heap);
   take();
   EXPECT_GE(refused.size(), 16u);
@@ -179,8 +191,9 @@
     driver.at(driver.now + 100 * kMillisecond).wake();
     take();
   }
-  for (const std::string& id : refused)
+  for (const std::string& id : refused) {
     EXPECT_NE(id.substr(0, 5), "taken") << id;
+  }
 }
 
 }  // namespace
--- a/tests/decision/attempts_test.cpp
+++ b/tests/decision/attempts_test.cpp
@@ -23,8 +23,9 @@
   driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   driver.arrive("p", "unsafe", 1);
   Ids sent = driver.at(kSecond).end("p", 0, AttemptResult::connect_failed);
-  for (int i = 1; i < 40 && sent.empty(); ++i)
+  for (int i = 1; i < 40 && sent.empty(); ++i) {
     sent = driver.at(kSecond + 100 * kMillisecond * i).wake();
+  }
   EXPECT_EQ(sent, Ids{"p"});
 }
 
@@ -35,8 +36,9 @@
   driver.list({makeEndpoint("e1", 1, "batch")});  // three messages a call
   std::vector<Event> all;
   all.reserve(4);
-  for (int i = 0; i < 4; ++i)
+  for (int i = 0; i < 4; ++i) {
     all.emplace_back(driver.arrival("m" + std::to_string(i), "safe", 1));
+  }
   EXPECT_EQ(driver.run(all).size(), 3u);
   driver.at(50 * kMillisecond).end("m0", 0, AttemptResult::ok);
   driver.end("m1", 0, AttemptResult::ok);
@@ -70,8 +72,9 @@
       const std::string id = "m" + std::to_string(i);
       driver.at(driver.now + gap).arrive(id, "safe", 1);
       driver.at(driver.now + 50 * kMillisecond).end(id, 0, AttemptResult::ok, 50 * kMillisecond);
-      if (i >= 20)
+      if (i >= 20) {
         n += driver.got<CloseIdleConnections>().size();
+      }
     }
     return n;
   };
@@ -88,8 +91,9 @@
   driver.arrive("m", "safe", 1);
   driver.at(100 * kMillisecond).end("m", 0, AttemptResult::error);
   Ids sent;
-  while (sent.empty() && driver.now < 19 * kSecond)
+  while (sent.empty() && driver.now < 19 * kSecond) {
     sent = driver.at(driver.now + 50 * kMillisecond).wake();
+  }
   EXPECT_EQ(sent, Ids{"m"});
   EXPECT_GE(driver.now, 100 * kMillisecond + settings.classes[0].latency_objective);
 }
@@ -111,13 +115,15 @@
       driver.at(driver.now + 50 * kMillisecond).end(id, 0, result, 50 * kMillisecond);
       return driver.got<CloseIdleConnections>().empty();
     };
-    for (int i = 0; i < 200; ++i)
+    for (int i = 0; i < 200; ++i) {
       call(AttemptResult::ok);
+    }
     EXPECT_TRUE(call(AttemptResult::ok));  // busy enough to be worth keeping
     call(AttemptResult::connect_failed);
     std::vector<std::string> sent;
-    while (sent.empty())
+    while (sent.empty()) {
       sent = driver.at(driver.now + 50 * kMillisecond).wake();
+    }
     driver.at(driver.now + 50 * kMillisecond).end(sent[0], 1, AttemptResult::ok, 50 * kMillisecond);
     return driver.got<CloseIdleConnections>().empty();
   };
@@ -137,8 +143,9 @@
     driver.list({makeEndpoint("e1", 1)});
     driver.arrive("m", "safe", 1);
     driver.at(50 * kMillisecond).end("m", 0, AttemptResult::connect_failed, 50 * kMillisecond);
-    while (driver.at(driver.now + 10 * kMillisecond).wake().empty() && driver.now < 19 * kSecond)
+    while (driver.at(driver.now + 10 * kMillisecond).wake().empty() && driver.now < 19 * kSecond) {
       continue;
+    }
     EXPECT_GE(driver.now, 2 * kSecond);  // an aim
     back.insert(driver.now / (500 * kMillisecond));
   }
--- a/tests/decision/bound_test.cpp
+++ b/tests/decision/bound_test.cpp
@@ -16,9 +16,11 @@
   EXPECT_TRUE(driver.at(200 * kMillisecond).arrive("m2", "safe", 1).empty());
   EXPECT_TRUE(driver.at(790 * kMillisecond).wake().empty());
   Ids later;
-  for (int i = 0; i < 100; ++i)
-    for (const auto& id : driver.at(800 * kMillisecond + 50 * kMillisecond * i).wake())
+  for (int i = 0; i < 100; ++i) {
+    for (const auto& id : driver.at(800 * kMillisecond + 50 * kMillisecond * i).wake()) {
       later.push_back(id);
+    }
+  }
   EXPECT_EQ(later.size(), 2u);
 }
 
@@ -32,24 +34,29 @@
   settings.classes[0].deadline = 100 * kSecond;
   SchedulerDriver driver(settings);
   driver.list({makeEndpoint("e1", 1, "shared", 20)});  // 20 calls a second from all senders
-  for (int i = 0; i < 60; ++i)
+  for (int i = 0; i < 60; ++i) {
     driver.arrive("m" + std::to_string(i), "safe", 1);
+  }
   std::map<std::string, int> tries;
   std::vector<Micros> sent_at;
   std::vector<std::string> out;
-  for (auto& [id, e] : driver.sent_to)
+  for (auto& [id, e] : driver.sent_to) {
     out.push_back(id);
+  }
   const Micros back = 8 * kSecond;
   for (Micros t = 100 * kMillisecond; t < 40 * kSecond; t += 20 * kMillisecond) {
     std::vector<Event> events{TimerFired{}};
     driver.at(t);
-    for (const auto& id : out)
+    for (const auto& id : out) {
       events.emplace_back(driver.outcome(
           id, tries[id]++, t < back ? AttemptResult::connect_failed : AttemptResult::ok, 20 * kMillisecond));
+    }
     out = driver.run(events);
-    for (std::size_t i = 0; i < out.size(); ++i)
-      if (t >= back)
+    for (std::size_t i = 0; i < out.size(); ++i) {
+      if (t >= back) {
         sent_at.push_back(t);
+      }
+    }
   }
   ASSERT_GT(sent_at.size(), 20u);
   // Within the first span after the return, and one trial more for chance.
@@ -67,8 +74,9 @@
   for (int i = 0; i < steps; ++i) {
     std::vector<Event> events{TimerFired{}};
     driver.at(driver.now + 50 * kMillisecond);
-    for (const auto& id : out)
+    for (const auto& id : out) {
       events.emplace_back(driver.outcome(id, tries[id]++, AttemptResult::ok, 50 * kMillisecond));
+    }
     out = driver.run(events);
     n += out.size();
   }
@@ -87,8 +95,9 @@
     driver.at(100 * kMillisecond).end("x", 0, refused ? AttemptResult::throttled : AttemptResult::ok);
     std::vector<Event> all;
     all.reserve(100);
-    for (int i = 0; i < 100; ++i)
+    for (int i = 0; i < 100; ++i) {
       all.emplace_back(driver.arrival("m" + std::to_string(i), "safe", 1));
+    }
     return startsWhenAnswered(driver, all, 40, {{"x", 1}});
   };
   EXPECT_LT(count(true), count(false));
@@ -110,13 +119,16 @@
     events.reserve(out.size() + 2);
     driver.at(t);
     const bool refuses = t >= from && t < until;
-    for (const auto& id : out)
+    for (const auto& id : out) {
       events.emplace_back(
           driver.outcome(id, tries[id]++, refuses ? AttemptResult::throttled : AttemptResult::ok));
-    if (!refuses)
+    }
+    if (!refuses) {
       served += out.size();
-    if (t % (100 * kMillisecond) == 0)
+    }
+    if (t % (100 * kMillisecond) == 0) {
       events.emplace_back(driver.arrival("m" + std::to_string(arrived++), "safe", 1));
+    }
     events.emplace_back(TimerFired{});
     out = driver.run(events);
   }
@@ -141,8 +153,9 @@
   driver.list({makeEndpoint("e1", 1, "shared", 4)});
   std::vector<Event> all;
   all.reserve(100);
-  for (int i = 0; i < 100; ++i)
+  for (int i = 0; i < 100; ++i) {
     all.emplace_back(driver.arrival("m" + std::to_string(i), "safe", 1));
+  }
   const std::size_t n = startsWhenAnswered(driver, all, 60, {});
   EXPECT_GE(n, 12u);
   EXPECT_LE(n, 16u);  // 4 a second for 3 s, and half a second's burst
@@ -160,8 +173,9 @@
   driver.arrive("m1", "safe", 1);
   driver.at(kSecond).end("m1", 0, AttemptResult::timeout, kSecond);
   std::size_t n = 0;
-  for (int i = 0; i < 10; ++i)
+  for (int i = 0; i < 10; ++i) {
     n += driver.at(driver.now + 200 * kMillisecond).arrive("x" + std::to_string(i), "safe", 1).size();
+  }
   EXPECT_LE(n, 1u);  // a trial at most
 }
 
@@ -187,8 +201,9 @@
   driver.at(driver.now + 10 * kMillisecond).arrive("patient", "safe", 1);
   Ids sent;
   const Micros from = driver.now;
-  while (sent.empty() && driver.now < from + 40 * kSecond)
+  while (sent.empty() && driver.now < from + 40 * kSecond) {
     sent = driver.at(driver.now + 50 * kMillisecond).wake();
+  }
   EXPECT_LT(driver.now - from, 15 * kSecond);
 }
 
@@ -222,8 +237,9 @@
     driver.arrive("m", "safe", 1);
     driver.at(50 * kMillisecond).end("m", 0, AttemptResult::throttled, 50 * kMillisecond, 3 * kSecond);
     Ids sent;
-    for (Micros t = 100 * kMillisecond; sent.empty() && t < 19 * kSecond; t += 50 * kMillisecond)
+    for (Micros t = 100 * kMillisecond; sent.empty() && t < 19 * kSecond; t += 50 * kMillisecond) {
       sent = driver.at(t).wake();
+    }
     EXPECT_GE(driver.now, 3 * kSecond + 50 * kMillisecond);
     back.push_back(driver.now);
   }
@@ -242,9 +258,11 @@
   driver.arrive("m", "safe", 1);
   driver.at(kSecond).end("m", 0, AttemptResult::timeout, kSecond);
   int tries = 1;
-  while (driver.now < 19 * kSecond)
-    if (!driver.at(driver.now + 50 * kMillisecond).wake().empty())
+  while (driver.now < 19 * kSecond) {
+    if (!driver.at(driver.now + 50 * kMillisecond).wake().empty()) {
       driver.end("m", tries++, AttemptResult::timeout, 50 * kMillisecond);
+    }
+  }
   EXPECT_LE(tries, 2);
 }
 
--- a/tests/decision/health_test.cpp
+++ b/tests/decision/health_test.cpp
@@ -14,8 +14,9 @@
   settings.connection_idle_timeout = 60 * kSecond;
   SchedulerDriver driver(settings);
   std::vector<EndpointInfo> all;
-  for (int d = 1; d <= 6; ++d)
+  for (int d = 1; d <= 6; ++d) {
     all.emplace_back(makeEndpoint("e" + std::to_string(d), d));
+  }
   driver.list(all);
   Micros t = 0;
   int n = 0;
@@ -26,16 +27,19 @@
     driver.at(t + rtt + 1).end(id, 0, result, rtt);
     t += rtt + 10 * kMillisecond;
   };
-  for (int i = 0; i < 10; ++i)
-    for (int d = 1; d <= 6; ++d)
+  for (int i = 0; i < 10; ++i) {
+    for (int d = 1; d <= 6; ++d) {
       call(d, AttemptResult::ok, 100 * kMillisecond);
+    }
+  }
   EXPECT_TRUE(driver.got<CloseIdleConnections>().empty());
   for (int d = 1; d <= 5; ++d) {
     t += kSecond;
     call(d, AttemptResult::timeout, 900 * kMillisecond);  // lost on the reused connection
     std::vector<std::string> sent;
-    while (sent.empty())
+    while (sent.empty()) {
       sent = driver.at(t += 50 * kMillisecond).wake();
+    }
     driver.at(t += 100 * kMillisecond).end(sent[0], 1, AttemptResult::ok);  // its further try, on a fresh one
   }
   t = driver.now + kSecond;
@@ -52,8 +56,9 @@
   settings.connection_idle_timeout = 60 * kSecond;
   SchedulerDriver driver(settings);
   std::vector<EndpointInfo> all;
-  for (int d = 1; d <= 6; ++d)
+  for (int d = 1; d <= 6; ++d) {
     all.emplace_back(makeEndpoint("e" + std::to_string(d), d));
+  }
   driver.list(all);
   Micros t = 0;
   int n = 0;
@@ -67,14 +72,17 @@
     t += rtt + 10 * kMillisecond;
   };
   for (int round = 0; round < 8; ++round) {
-    for (int d = 1; d <= 6; ++d)
+    for (int d = 1; d <= 6; ++d) {
       call(d, AttemptResult::ok, 100 * kMillisecond);
-    if (round < 3)
+    }
+    if (round < 3) {
       continue;
+    }
     call(6, AttemptResult::timeout, 900 * kMillisecond);  // on the connection used 10 ms ago
     std::vector<std::string> sent;
-    while (sent.empty())
+    while (sent.empty()) {
       sent = driver.at(t += 50 * kMillisecond).wake();
+    }
     driver.at(t += 100 * kMillisecond).end(sent[0], 1, AttemptResult::ok);  // its further try, on a fresh one
     t += 10 * kMillisecond;
   }
@@ -91,9 +99,11 @@
   settings.max_attempts = 3;
   SchedulerDriver driver(settings);
   std::vector<EndpointInfo> all;
-  for (int d = 1; d <= 3; ++d)
-    for (const char* e : {"a", "b"})
+  for (int d = 1; d <= 3; ++d) {
+    for (const char* e : {"a", "b"}) {
       all.emplace_back(makeEndpoint(e + std::to_string(d), d));
+    }
+  }
   driver.list(all);
   int n = 0;
   auto call = [&](int d, AttemptResult result, Micros rtt) {
@@ -104,16 +114,19 @@
     return id;
   };
   // Busy enough that connections are worth keeping.
-  for (int i = 0; i < 200; ++i)
-    for (int d = 1; d <= 3; ++d)
+  for (int i = 0; i < 200; ++i) {
+    for (int d = 1; d <= 3; ++d) {
       call(d, AttemptResult::ok, 20 * kMillisecond);
+    }
+  }
   for (int d = 1; d <= 2; ++d) {
     driver.at(driver.now + 2 * kSecond);
     const std::string lost = call(d, AttemptResult::timeout, 900 * kMillisecond);
     const std::string first = driver.sent_to[lost];
     std::vector<std::string> sent;
-    while (sent.empty())
+    while (sent.empty()) {
       sent = driver.at(driver.now + 50 * kMillisecond).wake();
+    }
     EXPECT_NE(driver.sent_to[lost], first);
     driver.at(driver.now + 50 * kMillisecond).end(sent[0], 1, AttemptResult::ok, 50 * kMillisecond);
   }
@@ -130,12 +143,13 @@
   settings.may_cancel = true;
   SchedulerDriver driver(settings);
   driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2), makeEndpoint("e3", 3)});
-  for (int d = 1; d <= 3; ++d)
+  for (int d = 1; d <= 3; ++d) {
     for (int i = 0; i < 10; ++i) {
       const std::string id = "w" + std::to_string(d * 100 + i);
       driver.at(driver.now + 300 * kMillisecond).arrive(id, "safe", d);
       driver.at(driver.now + 100 * kMillisecond).end(id, 0, AttemptResult::ok);
     }
+  }
   driver.at(driver.now + kSecond)
       .run({driver.arrival("p", "unsafe", 1), driver.arrival("a", "safe", 1), driver.arrival("b", "safe", 2),
             driver.arrival("c", "safe", 2)});
@@ -167,12 +181,14 @@
   driver.at(driver.now + kSecond);
   std::vector<Event> more;
   more.reserve(5);
-  for (int i = 0; i < 5; ++i)
+  for (int i = 0; i < 5; ++i) {
     more.emplace_back(driver.arrival("m" + std::to_string(i), "safe", 1));
+  }
   EXPECT_LE(driver.run(more).size(), 1u);  // a trial, where the lane has room for seven
   std::size_t n = 0;
-  for (int i = 0; i < 10; ++i)
+  for (int i = 0; i < 10; ++i) {
     n += driver.at(driver.now + 100 * kMillisecond).wake().size();
+  }
   EXPECT_LE(n, 2u);
 }
 
@@ -183,8 +199,9 @@
   settings.call_slots = 4;
   SchedulerDriver driver(settings);
   std::vector<EndpointInfo> all;
-  for (int d = 1; d <= 6; ++d)
+  for (int d = 1; d <= 6; ++d) {
     all.emplace_back(makeEndpoint("e" + std::to_string(d), d));
+  }
   driver.list(all);
   for (int d = 1; d <= 6; ++d) {
     const std::string id = "w" + std::to_string(d);
--- a/tests/decision/property_test.cpp
+++ b/tests/decision/property_test.cpp
@@ -31,7 +31,7 @@
  public:
   RandomEvents(const Settings& settings, std::uint64_t seed)
       : settings_(settings), random_(seed), scheduler_(settings, seed) {
-    for (int d = 0; d < 5; ++d)
+    for (int d = 0; d < 5; ++d) {
       for (int i = 0; i < 1 + d % 3; ++i) {
         const std::string id = "e" + std::to_string(d) + std::to_string(i);
         endpoints_.push_back(makeEndpoint(
@@ -40,41 +40,55 @@
                 .name,
             1 + below(20), below(2) ? "a" : "b"));
       }
+    }
     turn({EndpointsChanged{EndpointUpdateKind::cached, endpoints_}});
   }
 
   void step() {
     std::vector<Event> events;
     now_ += settings_.tick * (1 + below(20));
-    if (below(400) == 0)
+    if (below(400) == 0) {
       now_ += 3 * kSecond;  // the host was away
+    }
     if (timer_at_ > 0 && now_ >= timer_at_) {
       timer_at_ = 0;
       events.emplace_back(TimerFired{});
     }
-    for (auto& [id, message] : messages_)
+    for (auto& [id, message] : messages_) {
       if (!message.ended && message.order > 0 && below(300) == 0) {  // nobody wants it any more
         message.ended = true;
         events.emplace_back(Abandoned{id});
       }
-    for (auto& [id, message] : messages_)  // time-outs first: they can't come late
-      for (std::size_t i = 0; i < message.attempts.size(); ++i)
-        if (message.attempts[i].in_flight && times_out_at_[{id, static_cast<int>(i)}] <= now_)
+    }
+    for (auto& [id, message] : messages_) {  // time-outs first: they can't come late
+      for (std::size_t i = 0; i < message.attempts.size(); ++i) {
+        if (message.attempts[i].in_flight && times_out_at_[{id, static_cast<int>(i)}] <= now_) {
           events.emplace_back(end(id, static_cast<int>(i), AttemptResult::timeout));
-    for (int n = below(4); n > 0; --n)
+        }
+      }
+    }
+    for (int n = below(4); n > 0; --n) {
       arrive(events);
-    for (auto& [id, message] : messages_)
-      for (std::size_t i = 0; i < message.attempts.size(); ++i)
-        if (message.attempts[i].in_flight && below(12) == 0)
+    }
+    for (auto& [id, message] : messages_) {
+      for (std::size_t i = 0; i < message.attempts.size(); ++i) {
+        if (message.attempts[i].in_flight && below(12) == 0) {
           events.emplace_back(end(id, static_cast<int>(i), anyResult(message.destination)));
-    if (below(60) == 0)
+        }
+      }
+    }
+    if (below(60) == 0) {
       changeList(events);
-    if (below(90) == 0)
+    }
+    if (below(90) == 0) {
       events.emplace_back(EndpointsChanged{EndpointUpdateKind::failed, {}});
-    if (below(50) == 0)
+    }
+    if (below(50) == 0) {
       events.emplace_back(AttemptOutcome{});  // names nothing
-    if (!events.empty())
+    }
+    if (!events.empty()) {
       turn(events);
+    }
   }
 
   void drain() {
@@ -86,15 +100,20 @@
         timer_at_ = 0;
         events.emplace_back(TimerFired{});
       }
-      for (auto& [id, message] : messages_)
-        for (std::size_t i = 0; i < message.attempts.size(); ++i)
-          if (message.attempts[i].in_flight && times_out_at_[{id, static_cast<int>(i)}] <= now_)
+      for (auto& [id, message] : messages_) {
+        for (std::size_t i = 0; i < message.attempts.size(); ++i) {
+          if (message.attempts[i].in_flight && times_out_at_[{id, static_cast<int>(i)}] <= now_) {
             events.emplace_back(end(id, static_cast<int>(i), AttemptResult::timeout));
-      if (!events.empty())
+          }
+        }
+      }
+      if (!events.empty()) {
         turn(events);
+      }
     }
-    for (auto& [id, message] : messages_)
+    for (auto& [id, message] : messages_) {
       EXPECT_TRUE(message.ended) << id;
+    }
   }
 
   int answered = 0;
@@ -112,17 +131,20 @@
 
   void arrive(std::vector<Event>& events) {
     int open = 0;
-    for (auto& [id, message] : messages_)
+    for (auto& [id, message] : messages_) {
       open += !message.ended;
-    if (open >= settings_.max_messages)
+    }
+    if (open >= settings_.max_messages) {
       return;
+    }
     const std::string id = "m" + std::to_string(++arrivals_);
     MessageState message;
     message.rules =
         &settings_.classes[static_cast<std::size_t>(below(static_cast<int>(settings_.classes.size())))];
     message.destination = below(6);  // the last has no endpoint
-    if (message.rules->ordered && below(4))
+    if (message.rules->ordered && below(4)) {
       message.order_key = "k" + std::to_string(below(3));
+    }
     message.expires_at = now_ + (below(5) ? message.rules->deadline
                                           : Micros{below(800)} * kMillisecond);  // some come with little time
     message.order = static_cast<std::uint64_t>(arrivals_);
@@ -145,16 +167,18 @@
     attempt.may_have_run = result != AttemptResult::throttled && result != AttemptResult::connect_failed &&
                            result != AttemptResult::not_sent;
     if (!message.order_key.empty() && (result == AttemptResult::timeout || result == AttemptResult::reset ||
-                                       result == AttemptResult::cancelled))
+                                       result == AttemptResult::cancelled)) {
       order_paused_until_[message.order_key] =
           std::max(order_paused_until_[message.order_key], now_ + settings_.ordering_pause);
+    }
     AttemptOutcome outcome;
     outcome.id = id;
     outcome.attempt = index;
     outcome.result = result;
     outcome.round_trip_time = now_ - attempt.sent_at;
-    if (result == AttemptResult::ok)
+    if (result == AttemptResult::ok) {
       message.ended = true;
+    }
     outcome.finished = message.ended;
     if (result == AttemptResult::throttled && below(2)) {
       outcome.retry_after = (1 + below(900)) * kMillisecond;
@@ -163,17 +187,22 @@
           retry_after_until_[own_route ? attempt.endpoint : "d" + std::to_string(message.destination)];
       until = std::max(until, now_ + outcome.retry_after);
     }
-    if (below(2))
+    if (below(2)) {
       outcome.load_report = LoadReport{0.5, 1.0 + below(30)};
+    }
     return outcome;
   }
 
   const DestinationKind& kindOf(const std::string& endpoint) {
-    for (const EndpointInfo& e : endpoints_)
-      if (e.id == endpoint)
-        for (const DestinationKind& k : settings_.destination_kinds)
-          if (k.name == e.kind)
+    for (const EndpointInfo& e : endpoints_) {
+      if (e.id == endpoint) {
+        for (const DestinationKind& k : settings_.destination_kinds) {
+          if (k.name == e.kind) {
             return k;
+          }
+        }
+      }
+    }
     return settings_.destination_kinds[0];
   }
 
@@ -192,30 +221,39 @@
         onSend(*send);
         ++sent_to[send->endpoint];
       }
-      if (const auto* reject = std::get_if<Reject>(&action))
+      if (const auto* reject = std::get_if<Reject>(&action)) {
         final(reject->id, true);
-      if (const auto* fail = std::get_if<Fail>(&action))
+      }
+      if (const auto* fail = std::get_if<Fail>(&action)) {
         final(fail->id, false);
-      if (const auto* timer = std::get_if<SetTimer>(&action))
+      }
+      if (const auto* timer = std::get_if<SetTimer>(&action)) {
         timer_at_ = timer_at_ > now_ ? std::min(timer_at_, now_ + timer->delay) : now_ + timer->delay;
-      if (const auto* cancel = std::get_if<CancelAttempt>(&action))
+      }
+      if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
         times_out_at_[{cancel->id, cancel->attempt}] = now_;
+      }
     }
     int slots = 0;
     std::map<std::pair<std::string, Micros>, int> calls;
-    for (auto& [id, message] : messages_)
-      for (const AttemptState& attempt : message.attempts)
-        if (attempt.in_flight)
+    for (auto& [id, message] : messages_) {
+      for (const AttemptState& attempt : message.attempts) {
+        if (attempt.in_flight) {
           ++calls[{attempt.endpoint, attempt.sent_at}];
+        }
+      }
+    }
     for (auto& [call, n] : calls) {
       const int per = kindOf(call.first).messages_per_call;
       slots += (n + per - 1) / per;
     }
     EXPECT_LE(slots, settings_.call_slots);
-    for (auto& [id, message] : messages_)
-      if (!message.ended)
+    for (auto& [id, message] : messages_) {
+      if (!message.ended) {
         EXPECT_LE(now_, message.expires_at + settings_.answer_slack + 4 * kSecond)
             << id;  // the host may be away
+      }
+    }
   }
 
   void final(const std::string& id, bool refuse) {
@@ -224,14 +262,17 @@
     EXPECT_FALSE(message.ended) << "two answers for " << id;
     message.ended = true;
     ++answered;
-    if (!refuse)
+    if (!refuse) {
       return;
+    }
     const bool ran = std::any_of(message.attempts.begin(), message.attempts.end(),
                                  [](const AttemptState& attempt) { return attempt.may_have_run; });
-    if (ran && message.rules->idempotency == Idempotency::non_idempotent)
+    if (ran && message.rules->idempotency == Idempotency::non_idempotent) {
       ADD_FAILURE() << "refused what may have run: " << id;
-    if (ran && message.rules->idempotency == Idempotency::with_key)
+    }
+    if (ran && message.rules->idempotency == Idempotency::with_key) {
       EXPECT_EQ(message.rules->deduplication_scope, DeduplicationScope::all) << id;
+    }
   }
 
   void onSend(const SendAttempt& send) {
@@ -240,42 +281,53 @@
     EXPECT_FALSE(message.ended) << "sent after its end: " << send.id;
     EXPECT_LT(static_cast<int>(message.attempts.size()), settings_.max_attempts);
     const EndpointInfo* e = nullptr;
-    for (const EndpointInfo& x : endpoints_)
-      if (x.id == send.endpoint)
+    for (const EndpointInfo& x : endpoints_) {
+      if (x.id == send.endpoint) {
         e = &x;
+      }
+    }
     ASSERT_NE(e, nullptr);
     EXPECT_EQ(e->destination, message.destination);
     EXPECT_GT(send.timeout, 0);
     EXPECT_LE(now_ + send.timeout, message.expires_at);
-    if (unlisted_at_.count(e->id) && unlisted_at_[e->id] >= 0)
+    if (unlisted_at_.count(e->id) && unlisted_at_[e->id] >= 0) {
       EXPECT_LE(now_, unlisted_at_[e->id] + settings_.drain_grace) << e->id;
+    }
     const std::string scope =
         kindOf(e->id).independent_routes ? e->id : "d" + std::to_string(message.destination);
-    if (retry_after_until_.count(scope))
+    if (retry_after_until_.count(scope)) {
       EXPECT_GE(now_, retry_after_until_[scope]) << "wait of " << scope;
+    }
     for (const AttemptState& attempt : message.attempts) {
-      if (attempt.in_flight)
+      if (attempt.in_flight) {
         EXPECT_TRUE(settings_.may_hedge) << send.id;
-      if (!attempt.may_have_run)
+      }
+      if (!attempt.may_have_run) {
         continue;
+      }
       EXPECT_NE(message.rules->idempotency, Idempotency::non_idempotent) << "unsafe sent twice: " << send.id;
-      if (message.rules->idempotency != Idempotency::with_key)
+      if (message.rules->idempotency != Idempotency::with_key) {
         continue;
+      }
       EXPECT_LE(now_, attempt.sent_at + message.rules->deduplication_window);
-      for (const EndpointInfo& x : endpoints_)
-        if (x.id == attempt.endpoint && message.rules->deduplication_scope == DeduplicationScope::zone)
+      for (const EndpointInfo& x : endpoints_) {
+        if (x.id == attempt.endpoint && message.rules->deduplication_scope == DeduplicationScope::zone) {
           EXPECT_EQ(x.zone, e->zone);
+        }
+      }
     }
     if (!message.order_key.empty()) {
       for (auto& [id, o] : messages_) {
-        if (o.order_key != message.order_key || o.order >= message.order)
+        if (o.order_key != message.order_key || o.order >= message.order) {
           continue;
+        }
         const bool out = std::any_of(o.attempts.begin(), o.attempts.end(),
                                      [](const AttemptState& attempt) { return attempt.in_flight; });
         EXPECT_TRUE(o.ended && !out) << send.id << " before " << id;
       }
-      if (message.attempts.empty() && order_paused_until_.count(message.order_key))
+      if (message.attempts.empty() && order_paused_until_.count(message.order_key)) {
         EXPECT_GE(now_, order_paused_until_[message.order_key]) << message.order_key;
+      }
     }
     message.attempts.push_back({send.endpoint, now_, true, true, AttemptResult::ok});
     times_out_at_[{send.id, static_cast<int>(message.attempts.size()) - 1}] = now_ + send.timeout;
@@ -306,14 +358,17 @@
     settings.late_decay = variant % 2 ? LateDecay::halving : LateDecay::linear;
     settings.sender_count = variant % 4 == 3 ? 200 : 1 + variant % 4;
     settings.ordering_pause = 300 * kMillisecond;
-    if (variant % 2)
+    if (variant % 2) {
       settings.tenants = {{"t", 2.0, 0.5}};
+    }
     settings.classes[static_cast<std::size_t>(variant % 3)].ordered = true;
-    if (variant % 4 == 1)
+    if (variant % 4 == 1) {
       settings.classes[1].deduplication_scope = DeduplicationScope::zone;
+    }
     RandomEvents world(settings, static_cast<std::uint64_t>(variant) + 1);
-    for (int i = 0; i < 1500; ++i)
+    for (int i = 0; i < 1500; ++i) {
       world.step();
+    }
     world.drain();
     EXPECT_GT(world.answered, 0);
   }
--- a/tests/decision/restart_test.cpp
+++ b/tests/decision/restart_test.cpp
@@ -44,8 +44,9 @@
   EXPECT_EQ((std::set<std::string>{"safe", "keyed", "untried", "refused"}),
             std::set<std::string>(sent.begin(), sent.end()));
   std::set<std::string> failed;
-  for (const Fail& f : driver.got<Fail>())
+  for (const Fail& f : driver.got<Fail>()) {
     failed.insert(f.id);
+  }
   EXPECT_EQ((std::set<std::string>{"unsafe", "away"}), failed);
   ASSERT_EQ(1u,
             driver.got<Reject>().size());  // repeats are dropped at all of its endpoints: harmless to hand in
@@ -111,8 +112,9 @@
     first.arrive("m" + std::to_string(i), "safe", 1);
     for (const SendAttempt& sent : first.got<SendAttempt>()) {
       first.at(first.now + 10 * kMillisecond).end(sent.id, 0, AttemptResult::connect_failed);
-      for (const HealthRecord& a : first.got<HealthRecord>())
+      for (const HealthRecord& a : first.got<HealthRecord>()) {
         kept.push_back(a);
+      }
     }
   }
   ASSERT_FALSE(kept.empty());
@@ -122,10 +124,12 @@
     SchedulerDriver next;
     next.at(first.now + kSecond).list({makeEndpoint("e", 1, "shared", 10)});
     std::vector<Event> events;
-    if (told)
+    if (told) {
       events.emplace_back(kept.back());
-    for (int i = 0; i < 8; ++i)
+    }
+    for (int i = 0; i < 8; ++i) {
       events.emplace_back(recovered(next, "r" + std::to_string(i), "safe", {}));
+    }
     return next.run(events).size();
   };
   EXPECT_EQ(1u, sends(true));
@@ -163,8 +167,9 @@
   driver.at(100 * kSecond).list({makeEndpoint("e", 1)});
   std::vector<Event> events;
   events.reserve(20);
-  for (int i = 0; i < 20; ++i)
+  for (int i = 0; i < 20; ++i) {
     events.emplace_back(recovered(driver, "m" + std::to_string(i), "safe", {}));
+  }
   std::vector<std::string> sent = driver.run(events);
   std::set<std::string> tried;
   for (int turn = 0; turn < 100 && !sent.empty(); ++turn) {
@@ -174,11 +179,13 @@
     driver.arrive("new" + std::to_string(turn), "safe",
                   1);  // those that come meanwhile take no place of theirs
     sent = driver.at(driver.now + 50 * kMillisecond).end(sent[0], 0, AttemptResult::ok);
-    for (int i = 0; i < 40 && sent.empty(); ++i)
+    for (int i = 0; i < 40 && sent.empty(); ++i) {
       sent = driver.at(driver.now + 50 * kMillisecond).wake();
+    }
   }
-  for (int i = 0; i < 20; ++i)
+  for (int i = 0; i < 20; ++i) {
     EXPECT_EQ(1u, tried.count("m" + std::to_string(i))) << i;
+  }
 }
 
 // It goes before what has come to other destinations since, too: there a busy sender's slots would go.
@@ -189,10 +196,12 @@
   driver.at(100 * kSecond).list({makeEndpoint("e", 1), makeEndpoint("f", 2)});
   std::vector<Event> events;
   events.reserve(5);
-  for (int i = 0; i < 5; ++i)
+  for (int i = 0; i < 5; ++i) {
     events.emplace_back(recovered(driver, "m" + std::to_string(i), "safe", {}));
-  for (int i = 0; i < 5; ++i)
+  }
+  for (int i = 0; i < 5; ++i) {
     events.emplace_back(driver.arrival("new" + std::to_string(i), "unsafe", 2));
+  }
   std::vector<std::string> sent = driver.run(events), order;
   for (int i = 0; i < 200 && order.size() < 10; ++i) {
     order.insert(order.end(), sent.begin(), sent.end());
@@ -200,8 +209,9 @@
     sent = sent.empty() ? driver.wake() : driver.end(sent[0], 0, AttemptResult::ok);
   }
   ASSERT_EQ(10u, order.size());
-  for (int i = 0; i < 5; ++i)
+  for (int i = 0; i < 5; ++i) {
     EXPECT_EQ('m', order[static_cast<std::size_t>(i)][0]) << order[static_cast<std::size_t>(i)];
+  }
 }
 
 // What a process hands over to the next is no restart's: it goes in the usual order, with what comes
@@ -217,8 +227,9 @@
     message.after_restart = false;
     events.emplace_back(message);
   }
-  for (int i = 0; i < 5; ++i)
+  for (int i = 0; i < 5; ++i) {
     events.emplace_back(driver.arrival("new" + std::to_string(i), "unsafe", 2));
+  }
   std::vector<std::string> sent = driver.run(events), order;
   for (int i = 0; i < 200 && order.size() < 4; ++i) {
     order.insert(order.end(), sent.begin(), sent.end());
--- a/tests/decision/tags_test.cpp
+++ b/tests/decision/tags_test.cpp
@@ -27,13 +27,16 @@
   Ids order = driver.run(all);
   for (int t = 1; order.size() < 25 && t < 100; ++t) {
     const std::string last = order.back();
-    for (const auto& id : driver.at(10 * kMillisecond * t).end(last, 0, AttemptResult::ok, 10 * kMillisecond))
+    for (const auto& id :
+         driver.at(10 * kMillisecond * t).end(last, 0, AttemptResult::ok, 10 * kMillisecond)) {
       order.push_back(id);
+    }
   }
   ASSERT_GE(order.size(), 25u);
   std::string who;
-  for (int i = 0; i < 25; ++i)
+  for (int i = 0; i < 25; ++i) {
     who += order[static_cast<std::size_t>(i)].substr(0, 1);
+  }
   EXPECT_EQ(who.substr(0, 5), "ababa");
   for (std::size_t from = 0; from < 25; from += 5) {
     const std::string five = who.substr(from, 5);
@@ -76,18 +79,23 @@
   driver.at(5 * kSecond);
   std::vector<Event> all;
   all.reserve(5);
-  for (int i = 0; i < 5; ++i)
+  for (int i = 0; i < 5; ++i) {
     all.emplace_back(driver.arrival("a" + std::to_string(i), "safe", 1));
-  for (int i = 0; i < 4; ++i)
+  }
+  for (int i = 0; i < 4; ++i) {
     all.emplace_back(driver.arrival("b" + std::to_string(i), "safe", 2));
+  }
   Ids order = driver.run(all);
-  for (int i = 0; order.size() < 6 && i < 20; ++i)
+  for (int i = 0; order.size() < 6 && i < 20; ++i) {
     for (const auto& id : driver.at(5 * kSecond + 20 * kMillisecond * (i + 1))
-                              .end(order.back(), 0, AttemptResult::ok, 20 * kMillisecond))
+                              .end(order.back(), 0, AttemptResult::ok, 20 * kMillisecond)) {
       order.push_back(id);
+    }
+  }
   std::string who;
-  for (const auto& id : order)
+  for (const auto& id : order) {
     who += id[0];
+  }
   EXPECT_EQ(who.substr(0, 2), "ab");  // the due local tags
   EXPECT_EQ(who.substr(2, 2), "bb");  // the credit
   EXPECT_NE(who.substr(4, 2), "bb");
@@ -102,14 +110,17 @@
   driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
   std::vector<Event> all;
   all.reserve(30);
-  for (int i = 0; i < 30; ++i)
+  for (int i = 0; i < 30; ++i) {
     all.emplace_back(driver.arrival("a" + std::to_string(i), "safe", 1));
+  }
   Ids order = driver.run(all);
-  for (int i = 1; i <= 10; ++i)
+  for (int i = 1; i <= 10; ++i) {
     order = driver.at(10 * kMillisecond * i).end(order.at(0), 0, AttemptResult::ok, 10 * kMillisecond);
+  }
   all.clear();
-  for (int i = 0; i < 5; ++i)
+  for (int i = 0; i < 5; ++i) {
     all.emplace_back(driver.arrival("b" + std::to_string(i), "safe", 2));
+  }
   EXPECT_TRUE(driver.run(all).empty());
   std::string who;
   for (int i = 11; i <= 16; ++i) {
--- a/tests/network/client_admission_test.cpp
+++ b/tests/network/client_admission_test.cpp
@@ -156,17 +156,23 @@
       clients_.setBudget(budget);
       is_shrinking_ = true;
     }
-    for (int count = randomBelow(3); count > 0; --count)
+    for (int count = randomBelow(3); count > 0; --count) {
       connectOne();
-    for (int count = randomBelow(8); count > 0 && !connections_.empty(); --count)
+    }
+    for (int count = randomBelow(8); count > 0 && !connections_.empty(); --count) {
       act(randomConnection());
-    while (const auto id = clients_.nextQueuedRequest())
+    }
+    while (const auto id = clients_.nextQueuedRequest()) {
       open_requests_.insert(*id);
-    while (const auto id = clients_.nextResumedReader())
+    }
+    while (const auto id = clients_.nextResumedReader()) {
       send(*id);
-    if (clients_.hasStalledReaders())
-      if (const auto id = clients_.bufferEvictionCandidate(now_))
+    }
+    if (clients_.hasStalledReaders()) {
+      if (const auto id = clients_.bufferEvictionCandidate(now_)) {
         close(*id);
+      }
+    }
     check();
   }
 
@@ -179,22 +185,26 @@
   void connectOne() {
     if (!clients_.hasCapacity()) {
       const auto id = clients_.evictionCandidate(now_);
-      if (!id)
+      if (!id) {
         return;
+      }
       ASSERT_NE(ClientState::awaiting_reply, clients_.state(*id)) << "an open request was evicted";
       std::map<std::string, int> connections_of;
-      for (const ConnectionId other : connections_)
+      for (const ConnectionId other : connections_) {
         ++connections_of[peers_[other]];
-      for (const ConnectionId other : connections_)  // unproductive, long silent, of a peer that holds more
+      }
+      for (const ConnectionId other : connections_) {  // unproductive, long silent, of a peer that holds more
         if (connections_of[peers_[other]] > connections_of[peers_[*id]]) {
           ASSERT_FALSE(clients_.state(other) == ClientState::awaiting_first_request &&
                        now_ - accepted_at_[other] > kSecond)
               << "not max-min fair";
         }
+      }
       close(*id);
     }
-    if (!clients_.hasCapacity())
+    if (!clients_.hasCapacity()) {
       return;
+    }
     const std::string peer = std::string(1, static_cast<char>('a' + randomBelow(randomBelow(2) ? 2 : 8)));
     const ConnectionId id = clients_.onAccepted(peer, now_);
     peers_[id] = peer;
@@ -204,15 +214,17 @@
 
   void send(ConnectionId id) {
     const std::size_t allowance = clients_.readAllowance(id);
-    if (allowance == 0)
+    if (allowance == 0) {
       return;
+    }
     clients_.onBytesReceived(id,
                              1 + static_cast<std::size_t>(randomBelow(
                                      static_cast<int>(std::min<std::size_t>(allowance, kReadBytes)))),
                              now_);
     if (randomBelow(3) == 0) {
-      if (clients_.onRequestComplete(id, now_) == RequestTurn::now)
+      if (clients_.onRequestComplete(id, now_) == RequestTurn::now) {
         open_requests_.insert(id);
+      }
     } else {
       clients_.onRequestPartial(id, now_);
     }
@@ -223,14 +235,17 @@
       case ClientState::awaiting_first_request:
       case ClientState::idle:
       case ClientState::reading_request:
-        if (randomBelow(20) == 0)
+        if (randomBelow(20) == 0) {
           return clients_.onRequestMalformed(id, now_);
-        if (randomBelow(3) > 0)
+        }
+        if (randomBelow(3) > 0) {
           send(id);
+        }
         break;
       case ClientState::awaiting_reply:
-        if (!open_requests_.count(id))
+        if (!open_requests_.count(id)) {
           break;
+        }
         if (!replying_.count(id)) {
           clients_.onRequestConsumed(id, 0);
           clients_.onReplyStarted(id, randomBelow(2) == 0, now_);
@@ -242,8 +257,9 @@
         }
         break;
       case ClientState::discarding_input:
-        if (randomBelow(2) == 0)
+        if (randomBelow(2) == 0) {
           close(id);
+        }
         break;
     }
   }
@@ -263,18 +279,21 @@
                          clients_.openRequests() > budget.max_open_requests ||
                          clients_.pooledByteCount() > budget.max_pooled_bytes;
     ASSERT_TRUE(!is_over || is_shrinking_) << "over the budget";
-    if (!is_over)
+    if (!is_over) {
       is_shrinking_ = false;
+    }
     for (const ConnectionId id : connections_) {
-      if (clients_.state(id) == ClientState::awaiting_reply && !replying_.count(id))
+      if (clients_.state(id) == ClientState::awaiting_reply && !replying_.count(id)) {
         continue;
+      }
       ASSERT_GT(clients_.deadline(id), now_) << "past its deadline, and still open";
       ASSERT_LE(clients_.deadline(id), now_ + 60 * kSecond);
     }
     while (clients_.isOverCapacity()) {
       const auto id = clients_.evictionCandidate(now_);
-      if (!id)
+      if (!id) {
         break;
+      }
       close(*id);
     }
   }
@@ -294,8 +313,9 @@
     Crowd crowd(seed);
     for (int step = 0; step < 3000; ++step) {
       crowd.step();
-      if (::testing::Test::HasFatalFailure())
+      if (::testing::Test::HasFatalFailure()) {
         return;
+      }
     }
   }
 }
--- a/tests/network/client_eviction_test.cpp
+++ b/tests/network/client_eviction_test.cpp
@@ -16,15 +16,17 @@
   const ConnectionId one = clients.onAccepted("few", 0);
   std::vector<ConnectionId> many;
   many.reserve(5);
-  for (int i = 0; i < 5; ++i)
+  for (int i = 0; i < 5; ++i) {
     many.push_back(clients.onAccepted("many", kMs * (i + 1)));
+  }
   EXPECT_FALSE(clients.hasCapacity());
   EXPECT_FALSE(clients.evictionCandidate(10 * kMs)) << "their first requests may be in transit";
   EXPECT_EQ(many[0], *clients.evictionCandidate(kSecond)) << "not the oldest of all";
   clients.onClosed(many[0]);
   EXPECT_TRUE(clients.hasCapacity());
-  for (int i = 1; i < 4; ++i)
+  for (int i = 1; i < 4; ++i) {
     clients.onClosed(many[static_cast<std::size_t>(i)]);
+  }
   EXPECT_EQ(one, *clients.evictionCandidate(kSecond)) << "equal shares: the one silent the longest";
 }
 
@@ -75,8 +77,9 @@
   ClientAdmission clients(smallBudget(8));
   std::vector<ConnectionId> submitters;
   submitters.reserve(3);
-  for (int i = 0; i < 3; ++i)
+  for (int i = 0; i < 3; ++i) {
     submitters.push_back(submittedAndIdle(clients, "client", 0));
+  }
   const ConnectionId a = clients.onAccepted("a", 5 * kSecond), b = clients.onAccepted("b", 5 * kSecond);
   clients.onAccepted("d", 10 * kSecond);
   EXPECT_EQ(a, clients.evictionCandidate(10 * kSecond).value_or(0));
@@ -114,15 +117,17 @@
 // table is idle clients.
 TEST(ClientEviction, ACrowdThatPingsOnceAndStaysKeepsNobodyWaiting) {
   ClientAdmission clients(smallBudget(91));
-  for (int i = 0; i < 64; ++i)
+  for (int i = 0; i < 64; ++i) {
     submittedAndIdle(clients, "client" + std::to_string(i), 10 * kSecond - 4 * kMs * i);
+  }
   Micros waited = 0, longest = 0;
   for (Micros now = 10 * kSecond; now < 12 * kSecond; now += 2500) {  // one connects in each step
     while (!clients.hasCapacity()) {
-      if (const auto candidate = clients.evictionCandidate(now + waited))
+      if (const auto candidate = clients.evictionCandidate(now + waited)) {
         clients.onClosed(*candidate);
-      else
+      } else {
         waited += kMs;
+      }
     }
     longest = std::max(longest, waited);
     const ConnectionId id = clients.onAccepted("crowd" + std::to_string(now), now + waited);
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -37,8 +37,9 @@
     return budget;
   }
   void runUntil(const std::function<bool()>& condition) {
-    while (!condition())
+    while (!condition()) {
       io.run_one();
+    }
   }
 
   boost::asio::io_context io;
--- a/tests/network/descriptor_limit_test.cpp
+++ b/tests/network/descriptor_limit_test.cpp
@@ -18,8 +18,9 @@
 std::vector<std::unique_ptr<Client>> crowd(int port, int size, const char* from = nullptr) {
   std::vector<std::unique_ptr<Client>> all;
   all.reserve(static_cast<std::size_t>(size));
-  for (int i = 0; i < size; ++i)
+  for (int i = 0; i < size; ++i) {
     all.push_back(std::make_unique<Client>(port, from));
+  }
   return all;
 }
 
@@ -62,8 +63,9 @@
   Client resting(f.program.port());
   ASSERT_EQ("+OK", resting.put("first", "order", 7));
   auto many = crowd(f.program.port(), 740, "127.0.0.2");
-  for (std::size_t i = 0; i < many.size(); ++i)
+  for (std::size_t i = 0; i < many.size(); ++i) {
     many[i]->send(Client::request({"MSG.PUT", "0", "x" + std::to_string(i), "c=order,d=5000,dest=7", "x"}));
+  }
   Client behind(f.program.port());
   EXPECT_NE("", behind.put("second", "order", 7));  // taken on, or refused by a full sender
   EXPECT_NE("", resting.put("third", "order", 7));
@@ -77,8 +79,9 @@
   std::atomic<bool> stop{false};
   std::thread sends([&] {
     std::string pings;
-    for (int i = 0; i < 1000; ++i)
+    for (int i = 0; i < 1000; ++i) {
       pings += Client::request({"PING"});
+    }
     while (!stop && greedy.sendSome(pings)) {
     }
     stop = true;
@@ -96,9 +99,11 @@
   Client big(f.program.port());
   const std::string piece(1'000'000, 'x');
   big.send("*1\r\n$60000000\r\n");
-  for (int i = 0; i < 60; ++i)
-    if (!big.sendSome(piece))
+  for (int i = 0; i < 60; ++i) {
+    if (!big.sendSome(piece)) {
       break;
+    }
+  }
   EXPECT_TRUE(big.closed());
   Client c(f.program.port());
   EXPECT_EQ("+OK", c.put("fine", "order", 7));
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -75,8 +75,9 @@
                       [&](const HttpResponse& received) { answered = received; });
   const int fd = ::accept4(listener.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   char piece[4096];
-  while (::recv(fd, piece, sizeof piece, 0) <= 0)
+  while (::recv(fd, piece, sizeof piece, 0) <= 0) {
     io.run_one_for(std::chrono::milliseconds(1));
+  }
   io.poll();  // the read of the answer is under way
   boost::asio::steady_timer just_before(io);
   just_before.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(until.at() - 1)));
@@ -86,8 +87,9 @@
   });
   while (until.remaining(monotonicNow()) >= -1000) {
   }  // busy: the event loop does not run
-  while (!answered)
+  while (!answered) {
     io.run_one_for(std::chrono::milliseconds(100));
+  }
   EXPECT_EQ(ExchangeStatus::answered, answered->completion);
   EXPECT_EQ(429, answered->status);
   EXPECT_TRUE(answered->body_complete);
@@ -110,8 +112,9 @@
                       [&](const HttpResponse& received) { answered = received; });
   while (monotonicNow() - from <= connect_limit + 1000) {
   }  // busy: the event loop does not run
-  while (!answered)
+  while (!answered) {
     io.run_one_for(std::chrono::milliseconds(100));
+  }
   EXPECT_EQ(server.seen().empty(), answered->completion == ExchangeStatus::not_written);
   EXPECT_EQ(200, answered->status);
 }
@@ -130,8 +133,9 @@
     }
   }
   ~Stuck() {
-    for (const int fd : fillers)
+    for (const int fd : fillers) {
       ::close(fd);
+    }
   }
   loopback::Listener listener;
   std::vector<int> fillers;
@@ -146,8 +150,9 @@
 
 std::string hints(int how_many) {
   std::string all;
-  while (how_many-- > 0)
+  while (how_many-- > 0) {
     all += "HTTP/1.1 103 Early Hints\r\n\r\n";
+  }
   return all;
 }
 
@@ -305,8 +310,9 @@
   pool.endpoints.startCall(pool.message("first"), 0, "e", within(60'000'000));
   const int fd = ::accept4(endpoint.fd, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
   char piece[4096];
-  while (::recv(fd, piece, sizeof piece, 0) <= 0)
+  while (::recv(fd, piece, sizeof piece, 0) <= 0) {
     pool.io.run_one_for(std::chrono::milliseconds(1));
+  }
   const std::string fine = answer("200 OK");
   EXPECT_EQ(static_cast<ssize_t>(fine.size()), ::send(fd, fine.data(), fine.size(), MSG_NOSIGNAL));
   EXPECT_EQ(AttemptResult::ok, pool.waitFor(1).result);
@@ -322,8 +328,9 @@
     pool.io.run_one_for(std::chrono::milliseconds(1));
   }
   ASSERT_GE(next, 0) << "the call ended as " << static_cast<int>(pool.outcomes.back().result);
-  while (::recv(next, piece, sizeof piece, 0) <= 0)
+  while (::recv(next, piece, sizeof piece, 0) <= 0) {
     pool.io.run_one_for(std::chrono::milliseconds(1));
+  }
   EXPECT_EQ(static_cast<ssize_t>(fine.size()), ::send(next, fine.data(), fine.size(), MSG_NOSIGNAL));
   EXPECT_EQ(AttemptResult::ok, pool.waitFor(2).result);
   ::close(next);
@@ -369,13 +376,15 @@
   Stuck stuck;
   TestPool pool(60'000'000, 300'000);
   pool.endpoints.setAddress("e", stuck.listener.address());
-  for (int i = 0; i < 8; ++i)
+  for (int i = 0; i < 8; ++i) {
     pool.endpoints.startCall(pool.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
+  }
   EXPECT_EQ(8u, pool.endpoints.inFlightCount());
   EXPECT_EQ(2, pool.connections.connectionCount());
   pool.waitFor(8);
-  for (const AttemptOutcome& outcome : pool.outcomes)
+  for (const AttemptOutcome& outcome : pool.outcomes) {
     EXPECT_EQ(AttemptResult::connect_failed, outcome.result);
+  }
   EXPECT_EQ(0, pool.connections.connectionCount());
 }
 
@@ -385,16 +394,19 @@
   Server server([](const Seen&) { return Act{answer("200 OK")}; });
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
-  for (int i = 0; i < 8; ++i)
+  for (int i = 0; i < 8; ++i) {
     pool.endpoints.startCall(pool.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
+  }
   pool.waitFor(8);
   std::set<std::string> ids;
-  for (const Seen& seen : server.seen())
+  for (const Seen& seen : server.seen()) {
     ids.insert(seen.field("X-Txn"));
+  }
   EXPECT_EQ(8u, ids.size());
   EXPECT_EQ(8u, server.seen().size());
-  for (const AttemptOutcome& outcome : pool.outcomes)
+  for (const AttemptOutcome& outcome : pool.outcomes) {
     EXPECT_EQ(AttemptResult::ok, outcome.result);
+  }
   EXPECT_EQ(static_cast<std::int64_t>(pool.endpoints.idleCount()), pool.connections.connectionCount());
 }
 
@@ -407,16 +419,19 @@
     TestPool pool;
     pool.endpoints.setAddress("e", stuck.listener.address());
     pool.endpoints.setAddress("told", server.address());
-    for (int i = 0; i < 3; ++i)  // two are opened, one waits
+    for (int i = 0; i < 3; ++i) {  // two are opened, one waits
       pool.endpoints.startCall(pool.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
-    if (drain)
+    }
+    if (drain) {
       pool.endpoints.onEndpointDraining("e");
-    else
+    } else {
       pool.endpoints.startCall(pool.message("told"), 0, "told", within(60'000'000));
+    }
     pool.waitFor(drain ? 3 : 4);
-    for (const AttemptOutcome& outcome : pool.outcomes)
+    for (const AttemptOutcome& outcome : pool.outcomes) {
       EXPECT_EQ(outcome.id == "told" ? AttemptResult::throttled : AttemptResult::not_sent, outcome.result)
           << outcome.id;
+    }
     EXPECT_EQ(0u, pool.endpoints.inFlightCount());
     EXPECT_EQ(drain ? 0 : 1, pool.connections.connectionCount());
   }
@@ -436,13 +451,15 @@
     pool.endpoints.startCall(pool.message("told"), 0, "told", within(60'000'000));
     pool.waitFor(2);
     std::map<std::string, AttemptOutcome> outcomes;
-    for (const AttemptOutcome& outcome : pool.outcomes)
+    for (const AttemptOutcome& outcome : pool.outcomes) {
       outcomes[outcome.id] = outcome;
+    }
     EXPECT_EQ(AttemptResult::not_sent, outcomes["m"].result);
     EXPECT_TRUE(outcomes["told"].still_in_flight);
     EXPECT_EQ(9'000'000, outcomes["told"].retry_after);
-    if (!cut)
+    if (!cut) {
       pool.endpoints.cancel({"told", 0});
+    }
     const AttemptOutcome end = pool.waitFor(pool.outcomes.size() + 1);
     EXPECT_FALSE(end.still_in_flight);
     EXPECT_EQ(AttemptResult::error, end.result);  // what can't be read may have run
@@ -455,8 +472,9 @@
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
   pool.endpoints.startCall(pool.message("m"), 0, "e", within(60'000'000));
-  while (server.seen().empty())
+  while (server.seen().empty()) {
     pool.io.run_one_for(std::chrono::milliseconds(1));
+  }
   std::this_thread::sleep_for(std::chrono::milliseconds(100));  // time for the answer to arrive: unread
   pool.endpoints.cancel({"m", 0});
   const AttemptOutcome outcome = pool.waitFor(1);
@@ -514,8 +532,9 @@
   pool.endpoints.startCall(message, 0, "e", within(60'000'000));
   const int fd = ::accept4(unread.fd, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
   char piece = 0;
-  while (::recv(fd, &piece, 1, MSG_PEEK) <= 0)
+  while (::recv(fd, &piece, 1, MSG_PEEK) <= 0) {
     pool.io.run_one_for(std::chrono::milliseconds(1));
+  }
   pool.endpoints.onEndpointDraining("e");
   EXPECT_EQ(AttemptResult::not_sent, pool.waitFor(1).result);
   EXPECT_EQ(0, pool.connections.connectionCount());
@@ -545,8 +564,9 @@
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
   EXPECT_EQ(AttemptResult::ok, pool.call("first").result);
-  for (const Micros span : {Micros{-5'000'000}, Micros{0}})
+  for (const Micros span : {Micros{-5'000'000}, Micros{0}}) {
     EXPECT_EQ(AttemptResult::connect_failed, pool.call("late" + std::to_string(span), span).result) << span;
+  }
   pool.endpoints.closeAllIdle();
   EXPECT_EQ(AttemptResult::connect_failed, pool.call("on a fresh one", 0).result);
   EXPECT_EQ(1u, server.seen().size());
@@ -561,8 +581,9 @@
   pool.connections.setBudget(budget);
   pool.endpoints.setAddress("e", server.address());
   pool.endpoints.setAddress("f", server.address());
-  for (int i = 0; i < 8; ++i)
+  for (int i = 0; i < 8; ++i) {
     pool.endpoints.startCall(pool.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
+  }
   pool.waitFor(8);
   EXPECT_EQ(3u, pool.endpoints.idleCount());
   pool.endpoints.startCall(pool.message("first"), 0, "f", within(60'000'000));
--- a/tests/network/socket_address_test.cpp
+++ b/tests/network/socket_address_test.cpp
@@ -19,8 +19,9 @@
 
 TEST(SocketAddress, AllElseIsRejected) {
   for (const char* address : {"", "10.0.0.4", "10.0.0.4:", ":6379", "10.0.0.4:65536", "10.0.0.4:123456",
-                              "10.0.0.4:-1", "10.0.0.4:6x", "localhost:6379", "[]:6379"})
+                              "10.0.0.4:-1", "10.0.0.4:6x", "localhost:6379", "[]:6379"}) {
     EXPECT_THROW(parseAddress(address), std::invalid_argument) << address;
+  }
 }
 
 }  // namespace
--- a/tests/process/control_test.cpp
+++ b/tests/process/control_test.cpp
@@ -48,8 +48,9 @@
   Fleet fleet(deliver);
   std::vector<std::unique_ptr<Client>> crowd;
   crowd.reserve(1140);
-  for (int i = 0; i < 1100; ++i)
+  for (int i = 0; i < 1100; ++i) {
     crowd.push_back(std::make_unique<Client>(fleet.program.port()));
+  }
   for (int i = 0; i < 40; ++i) {
     crowd.push_back(std::make_unique<Client>(fleet.program.controlPort()));
     crowd.back()->send("REA");
@@ -82,8 +83,9 @@
   full = false;
   EXPECT_TRUE(eventually([&] {
     std::set<std::string> ids;
-    for (const Seen& request : fleet.endpoint.seen())
+    for (const Seen& request : fleet.endpoint.seen()) {
       ids.insert(request.field("X-Txn"));
+    }
     return ids == std::set<std::string>{"held", "cut"};
   }));
   EXPECT_EQ(0u, fleet.program.operate("UNDRAIN").find("OK"));
--- a/tests/process/handover_compatibility_test.cpp
+++ b/tests/process/handover_compatibility_test.cpp
@@ -27,8 +27,9 @@
   std::ifstream f(kFolder + name);
   EXPECT_TRUE(f) << name;
   std::vector<json> out;
-  for (std::string line; std::getline(f, line);)
+  for (std::string line; std::getline(f, line);) {
     out.push_back(json::parse(line));
+  }
   EXPECT_FALSE(out.empty()) << name;
   return out;
 }
@@ -36,16 +37,19 @@
 // The lines of one side, as they were.
 std::vector<std::string> linesOf(const std::string& side) {
   std::vector<std::string> out;
-  for (const json& l : jsonLines("exchange.jsonl"))
-    if (l.at("from") == side)
+  for (const json& l : jsonLines("exchange.jsonl")) {
+    if (l.at("from") == side) {
       out.push_back(l.at("line"));
+    }
+  }
   return out;
 }
 
 std::set<CallKey> callsIn(const json& release) {
   std::set<CallKey> out;
-  for (const json& c : release)
+  for (const json& c : release) {
     out.emplace(c.at(0).get<std::string>(), c.at(1).get<int>());
+  }
   return out;
 }
 
@@ -96,14 +100,16 @@
       pollfd p{fd_, POLLIN, 0};
       char piece[4096];
       const ssize_t n = ::poll(&p, 1, kWait) > 0 ? ::recv(fd_, piece, sizeof piece, 0) : 0;
-      if (n <= 0)
+      if (n <= 0) {
         return "";
+      }
       in_.append(piece, static_cast<std::size_t>(n));
     }
   }
   void close() {
-    if (fd_ >= 0)
+    if (fd_ >= 0) {
       ::close(fd_);
+    }
     fd_ = -1;
   }
 
@@ -148,8 +154,9 @@
   LockHolder(const LockHolder&) = delete;
   LockHolder& operator=(const LockHolder&) = delete;
   void letGo() {
-    if (pid_ <= 0)
+    if (pid_ <= 0) {
       return;
+    }
     ::close(go_);
     ::waitpid(pid_, nullptr, 0);
     pid_ = -1;
@@ -177,8 +184,9 @@
     std::size_t n = 0;
     for (const json& a : m.at("attempts")) {
       j.recordAttempt(t.id, {a.at("endpoint"), now, false});
-      if (a.at("never_ran") == true)
+      if (a.at("never_ran") == true) {
         j.recordNeverRan(t.id, n);
+      }
       ++n;
     }
   }
@@ -211,12 +219,14 @@
   std::map<std::string, json> endpoints;
   for (const json& m : messages) {
     by_id[m.at("message")] = m;
-    for (const json& a : m.at("attempts"))
+    for (const json& a : m.at("attempts")) {
       endpoints[a.at("endpoint")] = listed(a.at("endpoint"), endpoint.address(), m.at("destination"));
+    }
   }
   json known = json::array();
-  for (const auto& [name, e] : endpoints)
+  for (const auto& [name, e] : endpoints) {
     known.push_back(e);
+  }
 
   UnixSocket listener;
   listener.listen(scratch + "/handover");
@@ -224,23 +234,28 @@
   std::vector<json> said;  // up to that it serves; of calls that ended before it may tell waits first
   std::thread older([&] {
     link = std::make_unique<UnixSocket>(listener.accept());
-    for (const std::string& l : lines)
-      if (early || &l == &lines.front())
+    for (const std::string& l : lines) {
+      if (early || &l == &lines.front()) {
         link->send(l);
+      }
+    }
     lock.letGo();
-    do
+    do {
       said.push_back(json::parse(link->line(), nullptr, false));
-    while (said.back().is_object() && isAbsent(said.back(), "serving"));
-    if (!early)
-      for (std::size_t i = 1; i < lines.size(); ++i)
+    } while (said.back().is_object() && isAbsent(said.back(), "serving"));
+    if (!early) {
+      for (std::size_t i = 1; i < lines.size(); ++i) {
         link->send(lines[i]);
+      }
+    }
   });
   Program newer(folder.path(), agent.address(), known, 3,
                 settings(16000));  // as recorded; waits until it is ready
   older.join();
   EXPECT_EQ(R"({"serving":true})", said.back().dump());
-  if (!early)
+  if (!early) {
     EXPECT_EQ(1u, said.size());
+  }
   EXPECT_EQ("OK ready", newer.operate("READY"));
 
   // A told wait holds for the older one's calls, too, and is told to it.
@@ -248,24 +263,29 @@
   std::map<std::string, json> ends;
   for (const std::string& l : lines) {
     const json message = json::parse(l);
-    if (isAbsent(message, "outcome"))
+    if (isAbsent(message, "outcome")) {
       continue;
+    }
     const json& o = message.at("outcome");
     const json& m = by_id.at(o.at("id"));
-    if (o.at("wait") > 0)
+    if (o.at("wait") > 0) {
       waits.emplace(m.at("attempts").at(o.at("attempt").get<std::size_t>()).at("endpoint").get<std::string>(),
                     m.at("destination").get<std::int64_t>());
-    if (o.at("still_out") == false)
+    }
+    if (o.at("still_out") == false) {
       ends[o.at("id")] = o;
+    }
   }
   EXPECT_EQ(callsIn(json::parse(lines.front()).at("release")).size(), ends.size());
   EXPECT_FALSE(waits.empty());
   const auto hear = [&](const json& message) {
-    if (!isAbsent(message, "held") && !isAbsent(message, "destination"))
+    if (!isAbsent(message, "held") && !isAbsent(message, "destination")) {
       told.emplace(message.at("held").get<std::string>(), message.at("destination").get<std::int64_t>());
+    }
   };
-  for (const json& message : said)
+  for (const json& message : said) {
     hear(message);
+  }
   while (!std::includes(told.begin(), told.end(), waits.begin(), waits.end())) {
     const std::string l = link->line();
     ASSERT_FALSE(l.empty()) << "a wait is not told to the older process";
@@ -275,19 +295,22 @@
   // What is delivered is over, what must not run twice is given up, and what may is sent again.
   std::set<std::string> again, given_up;
   for (const auto& [id, o] : ends) {
-    if (o.at("finished") == true)
+    if (o.at("finished") == true) {
       continue;
+    }
     const int result = o.at("result");
     const bool ran = result != kFull && result != kConnectFailed && result != kNotSent;
     (ran && by_id.at(id).at("class") == "payment" ? given_up : again).insert(id);
   }
   EXPECT_FALSE(given_up.empty() || again.empty());
-  for (const std::string& id : given_up)
+  for (const std::string& id : given_up) {
     EXPECT_TRUE(agent.waitForNotice(id)) << id;
+  }
   const auto sent = [&] {
     std::set<std::string> out;
-    for (const Seen& s : endpoint.seen())
+    for (const Seen& s : endpoint.seen()) {
       out.insert(s.field("X-Txn"));
+    }
     return out;
   };
   EXPECT_TRUE(eventually([&] { return sent() == again; }))
@@ -297,12 +320,14 @@
     std::set<std::string> ids;
     for (const auto& [id, e] : open) {
       ids.insert(id);
-      if (e.notice_pending || e.attempts.size() < 2 || ends.count(id) == 0)
+      if (e.notice_pending || e.attempts.size() < 2 || ends.count(id) == 0) {
         return false;
+      }
       const int result = ends.at(id).at("result");
       const bool never = result == kFull || result == kConnectFailed || result == kNotSent;
-      if (e.attempts[0].never_ran != never)
+      if (e.attempts[0].never_ran != never) {
         return false;
+      }
     }
     return ids == again;
   };
@@ -334,16 +359,21 @@
   Act act(const std::string& id) {
     const bool last = id.rfind("hang-", 0) == 0 || id == "expires";
     wait(last ? hanging : answering);
-    if (last)
+    if (last) {
       return {answer("200 OK")};
-    if (id == "full")
+    }
+    if (id == "full") {
       return {answer("429 Full", "Retry-After: 2\r\nX-Pressure: x0=0.9,x1=5\r\n")};
-    if (id == "half")
+    }
+    if (id == "half") {
       return {"HTTP/1.1 429 Full\r\nRetry-After: 1\r\nContent-Length: 9\r\n\r\nhalf"};
-    if (id == "error")
+    }
+    if (id == "error") {
       return {answer("500 Error")};
-    if (id == "reset")
+    }
+    if (id == "reset") {
       return {"", false, true};
+    }
     return {answer("200 OK", "X-Pressure: x0=0.4,x1=25\r\n")};
   }
   struct Opener {  // at the end of a test that failed, too
@@ -378,8 +408,9 @@
     endpoints[name] = listed(name, is_stuck(m) ? stuck.address() : endpoint.address(), m.at("destination"));
   }
   json known = json::array();
-  for (const auto& [name, e] : endpoints)
+  for (const auto& [name, e] : endpoints) {
     known.push_back(e);
+  }
   Program older(folder.path(), agent.address(), known, 3, settings(100000));  // nothing is overdue meanwhile
   std::size_t written = 0;
   for (const json& m : messages) {
@@ -404,12 +435,14 @@
   std::vector<json> expected, heard;
   for (const std::string& l : recorded) {
     json message = json::parse(l);
-    if (isAbsent(message, "outcome"))
+    if (isAbsent(message, "outcome")) {
       continue;
+    }
     json& o = message.at("outcome");
     EXPECT_EQ(o.at("id") == "expires", o.at("result") == kTimeout);
-    if (o.at("id") == "expires")
+    if (o.at("id") == "expires") {
       o["result"] = 0, o["finished"] = true;
+    }
     o.erase("rtt");
     expected.push_back(message);
   }
@@ -426,16 +459,19 @@
       EXPECT_EQ(o.at("still_out") == true, o.at("rtt") == 0) << l;
       o.erase("rtt");
       heard.push_back(message);
-      if (id.empty() || o.at("id") == id)
+      if (id.empty() || o.at("id") == id) {
         return true;
+      }
     }
   };
   const auto is_cancel = [](const std::string& l) { return !isAbsent(json::parse(l), "cancel"); };
   const auto send_all = [&](bool cancels) {
     std::size_t n = 0;
-    for (const std::string& l : lines)
-      if (&l != &lines.front() && is_cancel(l) == cancels)
+    for (const std::string& l : lines) {
+      if (&l != &lines.front() && is_cancel(l) == cancels) {
         link.send(l), ++n;
+      }
+    }
     EXPECT_GT(n, 0u);
   };
   const auto was_heard = [&](const std::string& id) {
@@ -443,12 +479,14 @@
                        [&](const json& h) { return h.at("outcome").at("id") == id; });
   };
   send_all(false);  // drains and told waits: what is not written yet goes back
-  for (const char* id : {"stuck-drain", "stuck-wait"})
+  for (const char* id : {"stuck-drain", "stuck-wait"}) {
     ASSERT_TRUE(was_heard(id) || hear(id));
+  }
   EXPECT_EQ(2u, heard.size());
   gates.let(gates.answering);
-  for (const char* id : {"done", "full", "error", "reset", "half"})
+  for (const char* id : {"done", "full", "error", "reset", "half"}) {
     ASSERT_TRUE(was_heard(id) || hear(id));
+  }
   EXPECT_EQ(7u, heard.size());
   send_all(true);
   ASSERT_TRUE(hear("half"));
--- a/tests/process/ownership_lock_test.cpp
+++ b/tests/process/ownership_lock_test.cpp
@@ -32,8 +32,9 @@
   ::waitpid(child, nullptr, 0);
   EXPECT_EQ(0, lock.holder());
   EXPECT_TRUE(lock.tryAcquire());
-  for (int fd : {ready[0], ready[1], go[0], go[1]})
+  for (int fd : {ready[0], ready[1], go[0], go[1]}) {
     ::close(fd);
+  }
 }
 
 TEST(OwnershipLock, AFolderThatIsMissingIsAnErrorWithThePath) {
--- a/tests/process/sender_test.cpp
+++ b/tests/process/sender_test.cpp
@@ -39,8 +39,9 @@
   };
   ASSERT_EQ("+OK", put("first", "beyond"));
   ASSERT_TRUE(endpoint.waitFor(1));  // it holds the slot, and may have run when the process is killed
-  for (const char* id : {"b1", "b2", "b3"})
+  for (const char* id : {"b1", "b2", "b3"}) {
     ASSERT_EQ("+OK", put(id, "beyond"));
+  }
   ASSERT_EQ("+OK", put("mine", "inside"));
   program.kill();
   silent = false;
@@ -123,8 +124,9 @@
   ASSERT_TRUE(silent.closed());  // by now the client has been idle for as long as that peer was waited for
   std::vector<std::unique_ptr<Client>> crowd;
   crowd.reserve(2000);
-  for (int i = 0; i < 2000; ++i)
+  for (int i = 0; i < 2000; ++i) {
     crowd.push_back(std::make_unique<Client>(fleet.program.port()));
+  }
   Client behind(fleet.program.port());
   EXPECT_EQ("+OK", behind.put("second", "order", 7));
   EXPECT_EQ("+OK", idle_client.put("third", "order", 7));
@@ -161,8 +163,9 @@
   ASSERT_TRUE(fleet.agent.waitForNotice("unsafe"));
   EXPECT_EQ("given_up", fleet.agent.notice("unsafe")["outcome"]);
   std::map<std::string, int> sends;
-  for (const Seen& request : fleet.endpoint.seen())
+  for (const Seen& request : fleet.endpoint.seen()) {
     ++sends[request.field("X-Txn")];
+  }
   EXPECT_EQ(2, sends["safe"]);
   EXPECT_EQ(2, sends["keyed"]);
   EXPECT_EQ(1, sends["unsafe"]);
@@ -174,9 +177,10 @@
   Fleet fleet(stayOut);
   Client client(fleet.program.port());
   for (const char* d :
-       {"d=0", "d=-5", "d=", "d=1.5", "d=soon", "d=99999999999999999999", "d=86400001", "x=1"})
+       {"d=0", "d=-5", "d=", "d=1.5", "d=soon", "d=99999999999999999999", "d=86400001", "x=1"}) {
     EXPECT_EQ(0u, client.ask({"MSG.PUT", "0", "id", std::string("c=order,dest=7,") + d, "x"}).find("-ERR"))
         << d;
+  }
   EXPECT_EQ("+OK", client.put("fine", "order", 7));
   ASSERT_TRUE(fleet.endpoint.waitFor(1));
   EXPECT_EQ("fine", fleet.endpoint.seen()[0].field("X-Txn"));
@@ -292,8 +296,9 @@
   Server other(deliver);
   json settings = plainSettings();
   settings["Ceilings"]["DialTimeoutMs"] = 100000.0;
-  for (json& c : settings["Categories"])
+  for (json& c : settings["Categories"]) {
     c["AimMs"] = c["DeadlineMs"];  // a first call may take all its time
+  }
   settings["Ceilings"]["ParallelTries"] = false;
   Program program(folder.path(), agent.address(), json::array({listed("e1", stuck.address(), 7)}), 3,
                   settings);
@@ -323,9 +328,10 @@
   program.start();
   EXPECT_TRUE(endpoint.waitFor(2));
   EXPECT_TRUE(eventually([&] {
-    for (const Seen& request : endpoint.seen())
+    for (const Seen& request : endpoint.seen()) {
       if (request.field("X-Txn") == "without-attempt")
         return true;
+    }
     return false;
   }));
   EXPECT_LT(std::chrono::steady_clock::now() - throttled_at, 20s);  // before the Retry-After ends
@@ -341,8 +347,9 @@
   ASSERT_TRUE(fleet.agent.waitForWatch(2));
   for (int life = 0; life < 2; ++life) {
     Client client(fleet.program.port());
-    for (int i = 0; i < 5; ++i)
+    for (int i = 0; i < 5; ++i) {
       ASSERT_EQ("+OK", client.put("m" + std::to_string(10 * life + i), "notice", 7));
+    }
     ASSERT_TRUE(other.waitFor(static_cast<std::size_t>(5 * (life + 1))));
     EXPECT_EQ(0u, fleet.endpoint.seen().size());
     fleet.program.kill();
@@ -368,8 +375,9 @@
   ASSERT_TRUE(endpoint.waitFor(1));
   ASSERT_TRUE(rejecting.waitFor(6));
   std::lock_guard<std::mutex> lock(mutex);
-  for (std::size_t i = 1; i < 5; ++i)
+  for (std::size_t i = 1; i < 5; ++i) {
     EXPECT_GE(asked[i] - asked[i - 1], 50ms * (1 << (i - 1))) << i;
+  }
 }
 
 // SIGHUP: the endpoint list is watched and notices are sent at the address that the file names now; a file
@@ -403,13 +411,15 @@
     std::mutex mutex;
     std::set<std::string> may_have_run, delivered;
     Server throttled([&](const Seen& request) {
-      if (down)
+      if (down) {
         return Act{answer("429 Full", "Retry-After: 20\r\n")};
+      }
       std::lock_guard<std::mutex> lock(mutex);
       const std::string id = request.field("X-Txn");
       const bool first = delivered.insert(id).second;
-      if (id != "throttled0" && id.rfind("throttled", 0) == 0)
+      if (id != "throttled0" && id.rfind("throttled", 0) == 0) {
         EXPECT_TRUE(first) << id;  // payments
+      }
       return Act{answer("200 OK")};
     });
     Server unavailable([&](const Seen& request) {
@@ -444,19 +454,23 @@
     {
       Client client(program.port());
       const auto put = [&](const std::string& id, const char* cls, int dest) {
-        if (client.put(id, cls, dest) == "+OK")
+        if (client.put(id, cls, dest) == "+OK") {
           accepted.push_back(id);
+        }
       };
       put("throttled0", "notice", 7);
       ASSERT_TRUE(throttled.waitFor(1));
       put("unavailable0", "payment", 8);
       ASSERT_TRUE(unavailable.waitFor(1));
-      for (int i = 1; i < 6; ++i)
+      for (int i = 1; i < 6; ++i) {
         put("throttled" + std::to_string(i), "payment", 7);
-      for (int i = 1; i < 6; ++i)
+      }
+      for (int i = 1; i < 6; ++i) {
         put("unavailable" + std::to_string(i), "payment", 8);
-      for (int i = 0; i < 3; ++i)
+      }
+      for (int i = 0; i < 3; ++i) {
         put("late" + std::to_string(i), "order", 9);
+      }
     }
     ASSERT_GE(accepted.size(), 12u);
     program.signal(how);
@@ -465,9 +479,10 @@
     agent.tell(json::array({listed("late", late.address(), 9)}));
     program.start();
     Client client(program.port());
-    for (int i = 0; i < 20; ++i)
+    for (int i = 0; i < 20; ++i) {
       client.put("new" + std::to_string(i), "notice", 7);  // a full table again
-    for (const std::string& id : accepted)
+    }
+    for (const std::string& id : accepted) {
       EXPECT_TRUE(eventually([&] {
         {
           std::lock_guard<std::mutex> lock(mutex);
@@ -479,9 +494,11 @@
         return !agent.notice(id).is_null();
       })) << id
           << " after signal " << how;
+    }
     std::lock_guard<std::mutex> lock(mutex);
-    for (const std::string& id : accepted)
+    for (const std::string& id : accepted) {
       EXPECT_EQ(1u, delivered.count(id) + may_have_run.count(id)) << id;
+    }
   }
 }
 
@@ -492,8 +509,9 @@
   explicit ScriptedDiscovery(std::vector<Act> answers)
       : answers_(std::move(answers)), server_([this](const Seen& request) {
           const std::size_t call = calls_++;
-          if (request.head.rfind("POST", 0) == 0)
+          if (request.head.rfind("POST", 0) == 0) {
             return Act{"HTTP/1.1 204 No Content\r\n\r\n"};
+          }
           std::lock_guard<std::mutex> lock(mutex_);
           asked_.push_back(std::chrono::steady_clock::now());
           return call < answers_.size() ? answers_[call] : Act{};
@@ -504,8 +522,9 @@
   std::vector<std::chrono::steady_clock::duration> gaps() {
     std::lock_guard<std::mutex> lock(mutex_);
     std::vector<std::chrono::steady_clock::duration> all;
-    for (std::size_t i = 1; i < asked_.size(); ++i)
+    for (std::size_t i = 1; i < asked_.size(); ++i) {
       all.push_back(asked_[i] - asked_[i - 1]);
+    }
     return all;
   }
 
@@ -562,8 +581,9 @@
   ASSERT_TRUE(silent.waitFor(1));
   program.reload(half.address());
   ASSERT_TRUE(half.waitFor(3));
-  for (std::size_t i = 0; i < 2; ++i)
+  for (std::size_t i = 0; i < 2; ++i) {
     EXPECT_EQ(std::string::npos, half.seen()[i].head.find("from=")) << half.seen()[i].head;
+  }
   Client client(program.port());
   ASSERT_EQ("+OK", client.put("m", "notice", 7));
   EXPECT_TRUE(to.waitFor(1));
@@ -627,17 +647,19 @@
   int accepted = 0, refused = 0;
   for (int i = 0; i < 40; ++i) {
     const std::string reply = client.put("m" + std::to_string(i), "notice", 7, std::string(8000, 'x'));
-    if (reply == "+OK")
+    if (reply == "+OK") {
       ++accepted;
-    else if (reply.rfind("-BUSY", 0) == 0)
+    } else if (reply.rfind("-BUSY", 0) == 0) {
       ++refused;
+    }
   }
   EXPECT_EQ(40, accepted + refused);
   EXPECT_GT(accepted, 3);
   EXPECT_GT(refused, 3);
   std::uint64_t on_disk = 0;
-  for (const auto& e : std::filesystem::directory_iterator(fleet.folder.path()))
+  for (const auto& e : std::filesystem::directory_iterator(fleet.folder.path())) {
     on_disk += (e.file_size() + 511) / 512 * 512;
+  }
   EXPECT_LE(on_disk, 300'000u);
 }
 
@@ -666,16 +688,20 @@
       const std::string id = "m" + std::to_string(i);
       {
         std::lock_guard<std::mutex> lock(mutex);
-        if (stop)
+        if (stop) {
           return;
-        if (client.connected())
+        }
+        if (client.connected()) {
           ++asked;
+        }
       }
       more.notify_all();
-      if (!client.connected())
+      if (!client.connected()) {
         continue;
-      if (client.put(id, "payment", 7) == "+OK")
+      }
+      if (client.put(id, "payment", 7) == "+OK") {
         accepted.push_back(id);
+      }
       std::this_thread::sleep_for(5ms);
     }
   });
@@ -696,10 +722,12 @@
   fleet.program.start();
   ASSERT_TRUE(fleet.endpoint.waitFor(accepted.size()));
   std::map<std::string, int> sends;
-  for (const Seen& request : fleet.endpoint.seen())
+  for (const Seen& request : fleet.endpoint.seen()) {
     ++sends[request.field("X-Txn")];
-  for (const std::string& id : accepted)
+  }
+  for (const std::string& id : accepted) {
     EXPECT_EQ(1, sends[id]) << id;
+  }
   EXPECT_EQ(0u, fleet.agent.noticeCount()) << fleet.agent.allNotices();
 }
 
--- a/tests/process/upgrade_test.cpp
+++ b/tests/process/upgrade_test.cpp
@@ -36,8 +36,9 @@
   }
   std::map<std::string, int> sendCounts() {
     std::map<std::string, int> counts;
-    for (const Seen& request : endpoint.seen())
+    for (const Seen& request : endpoint.seen()) {
       ++counts[request.field("X-Txn")];
+    }
     return counts;
   }
 
@@ -72,27 +73,31 @@
   std::vector<std::string> accepted;
   std::vector<std::thread> traffic;
   traffic.reserve(2);
-  for (int kept = 0; kept < 2; ++kept)
+  for (int kept = 0; kept < 2; ++kept) {
     traffic.emplace_back([&, kept] {
       std::unique_ptr<Client> client;
       for (int i = 0; !stop; ++i) {
         const std::string id = (kept ? "k" : "n") + std::to_string(i);
-        if (!kept || !client)
+        if (!kept || !client) {
           client = std::make_unique<Client>(upgrade.passed.port);
+        }
         std::string reply = client->put(id, "payment", 7);
         if (reply.empty() && kept) {  // closed between requests
           client = std::make_unique<Client>(upgrade.passed.port);
           reply = client->put(id, "payment", 7);
         }
         ++asked;
-        if (reply.empty())
+        if (reply.empty()) {
           ++unanswered;
+        }
         std::lock_guard<std::mutex> lock(mutex);
-        if (reply == "+OK")
+        if (reply == "+OK") {
           accepted.push_back(id);
+        }
         std::this_thread::sleep_for(10ms);
       }
     });
+  }
   const auto more = [&] {
     const int before = asked;
     return eventually([&] { return asked > before + 20; });
@@ -106,13 +111,15 @@
     ASSERT_TRUE(more());
   }
   stop = true;
-  for (auto& t : traffic)
+  for (auto& t : traffic) {
     t.join();
+  }
   EXPECT_EQ(0, unanswered);
   ASSERT_TRUE(upgrade.endpoint.waitFor(accepted.size()));
   const auto sends = upgrade.sendCounts();
-  for (const std::string& id : accepted)
+  for (const std::string& id : accepted) {
     EXPECT_EQ(1, sends.at(id)) << id;
+  }
   EXPECT_EQ(0u, upgrade.agent.noticeCount()) << upgrade.agent.allNotices();
 }
 
@@ -186,8 +193,9 @@
       throttled_at = now();
       return Act{answer("429 Full", "Retry-After: 2.5\r\n")};
     }
-    if (next_call == 0)
+    if (next_call == 0) {
       next_call = now();
+    }
     return Act{answer("200 OK")};
   };
   auto predecessor = upgrade.start();
@@ -245,8 +253,9 @@
     Listener passed;
     json settings = plainSettings();
     settings["Ceilings"]["DialTimeoutMs"] = 100000.0;
-    for (json& c : settings["Categories"])
+    for (json& c : settings["Categories"]) {
       c["AimMs"] = c["DeadlineMs"] = 100000.0;  // so long may a call take
+    }
     const json known = json::array({listed("stuck", stuck.address(), 7)});
     Program predecessor(folder.path(), agent.address(), known, 3, settings, &passed);
     ASSERT_TRUE(agent.waitForWatch(1));
@@ -308,12 +317,14 @@
     ASSERT_GE(fd, 0);
     (void)!::send(fd, says.data(), says.size(), MSG_NOSIGNAL);
     EXPECT_TRUE(eventually([&] { return predecessor->operate("READY") != "OK ready"; }));
-    if (!says.empty())
+    if (!says.empty()) {
       ::close(fd);  // the silent one stays
+    }
     EXPECT_TRUE(eventually([&] { return predecessor->operate("READY") == "OK ready"; }));
     ASSERT_EQ("+OK", Client(upgrade.passed.port).put("m" + std::to_string(says.size()), "notice", 7));
-    if (says.empty())
+    if (says.empty()) {
       ::close(fd);
+    }
   }
 }
 
--- a/tests/programs/journal_inspect_test.cpp
+++ b/tests/programs/journal_inspect_test.cpp
@@ -28,8 +28,9 @@
   std::array<char, 4096> buffer{};
   for (;;) {
     const std::size_t count = std::fread(buffer.data(), 1, buffer.size(), pipe);
-    if (count == 0)
+    if (count == 0) {
       break;
+    }
     result.output.append(buffer.data(), count);
   }
   result.exit_code = WEXITSTATUS(::pclose(pipe));
--- a/tests/programs/simulator_adapter_test.cpp
+++ b/tests/programs/simulator_adapter_test.cpp
@@ -39,8 +39,9 @@
   result.exit_code = WEXITSTATUS(status);
   result.output = readFile(base + ".out");
   result.errors = readFile(base + ".err");
-  for (const char* suffix : {".in", ".out", ".err"})
+  for (const char* suffix : {".in", ".out", ".err"}) {
     std::remove((base + suffix).c_str());
+  }
   return result;
 }
 
--- a/tests/protocol/resp_test.cpp
+++ b/tests/protocol/resp_test.cpp
@@ -17,8 +17,9 @@
     EXPECT_FALSE(error->message.empty());
     return Parsed::malformed;
   }
-  if (std::holds_alternative<RespIncomplete>(result))
+  if (std::holds_alternative<RespIncomplete>(result)) {
     return Parsed::incomplete;
+  }
   request = std::get<RespRequest>(result);
   return Parsed::complete;
 }
@@ -37,8 +38,9 @@
   ASSERT_EQ(2u, request.arguments.size());
   EXPECT_EQ("PING", request.arguments[0]);
   EXPECT_EQ(std::string("\0\r\n", 3), request.arguments[1]);
-  for (std::size_t size = 0; size < input.size(); ++size)
+  for (std::size_t size = 0; size < input.size(); ++size) {
     EXPECT_EQ(Parsed::incomplete, parse(input.substr(0, size), request)) << size;
+  }
 }
 
 TEST(Resp, MalformedOrTooLongInputIsRejectedEarly) {
@@ -48,8 +50,9 @@
        {std::string("GET / HTTP/1.1\r\n"), std::string("*0\r\n"), std::string("*-1\r\n"),
         std::string("*x\r\n"), std::string("*1\r\n+PING\r\n"), std::string("*1\r\n$-1\r\n"),
         std::string("*99\r\n"), std::string("*999999999999999999999"), std::string("*1\r\n$4\r\nPINGxx"),
-        "*1\r\n$" + too_long + "\r\n", std::string("*1\n"), std::string("*1\rx")})
+        "*1\r\n$" + too_long + "\r\n", std::string("*1\n"), std::string("*1\rx")}) {
     EXPECT_EQ(Parsed::malformed, parse(input, request)) << input;
+  }
 }
 
 TEST(Resp, ErrorTextsNameTheFault) {
--- a/tests/protocol/submit_reply_test.cpp
+++ b/tests/protocol/submit_reply_test.cpp
@@ -25,8 +25,9 @@
   EXPECT_TRUE(isUseful({SubmitStatus::accepted}));
   EXPECT_TRUE(isUseful({SubmitStatus::busy, 1}));
   for (const SubmitStatus status : {SubmitStatus::failed, SubmitStatus::unknown_class,
-                                    SubmitStatus::unknown_destination, SubmitStatus::duplicate})
+                                    SubmitStatus::unknown_destination, SubmitStatus::duplicate}) {
     EXPECT_FALSE(isUseful({status})) << toRespLine({status});
+  }
 }
 
 }  // namespace
--- a/tests/storage/journal_compatibility_test.cpp
+++ b/tests/storage/journal_compatibility_test.cpp
@@ -57,8 +57,9 @@
   expected.read_at.boot = readPrefixedLine(in, "read in boot: ");
   std::string* section = &expected.file_text;
   for (std::string line; std::getline(in, line);) {
-    if (line.rfind("accepted messages still open: ", 0) == 0)
+    if (line.rfind("accepted messages still open: ", 0) == 0) {
       section = &expected.open_text;
+    }
     *section += line + "\n";
   }
   EXPECT_FALSE(expected.file_text.empty() || expected.open_text.empty()) << expected.name;
@@ -67,9 +68,11 @@
 
 std::vector<std::string> fileNames(const char* extension) {
   std::vector<std::string> names;
-  for (const auto& file : fs::directory_iterator(kFolder))
-    if (file.path().extension() == extension)
+  for (const auto& file : fs::directory_iterator(kFolder)) {
+    if (file.path().extension() == extension) {
       names.push_back(file.path().filename().string());
+    }
+  }
   std::sort(names.begin(), names.end());
   return names;
 }
@@ -113,8 +116,9 @@
 
 std::string testName(const testing::TestParamInfo<std::string>& file) {
   std::string name;
-  for (const char c : file.param.substr(0, file.param.rfind('.')))
+  for (const char c : file.param.substr(0, file.param.rfind('.'))) {
     name += std::isalnum(static_cast<unsigned char>(c)) != 0 ? c : '_';
+  }
   return name;
 }
 INSTANTIATE_TEST_SUITE_P(All, RecordedJournal, testing::ValuesIn(fileNames(".expected")), testName);
@@ -123,13 +127,16 @@
 // So that a file that is lost is missed.
 TEST(RecordedJournals, AreAllThere) {
   std::vector<std::string> found;
-  for (const char* extension : {".expected", ".journal", ".rewritten"})
-    for (std::string& name : fileNames(extension))
+  for (const char* extension : {".expected", ".journal", ".rewritten"}) {
+    for (std::string& name : fileNames(extension)) {
       found.push_back(std::move(name));
+    }
+  }
   std::vector<std::string> listed;
   std::istringstream lines(readFile(kFolder + "/FILES"));
-  for (std::string line; std::getline(lines, line);)
+  for (std::string line; std::getline(lines, line);) {
     listed.push_back(line);
+  }
   EXPECT_EQ(listed, found);
   EXPECT_FALSE(found.empty());
 }
--- a/tests/storage/journal_fixture.h
+++ b/tests/storage/journal_fixture.h
@@ -43,10 +43,12 @@
     Journal journal(kFolder, {kDiskBytes, durable}, now, disk);
     journal.recordEndpointList("{\"index\":4}");
     journal.recordHealth({"", 7, true, 99, 123});
-    for (const char* id : {"run", "never", "new", "pending", "completed"})
+    for (const char* id : {"run", "never", "new", "pending", "completed"}) {
       journal.recordAccepted(testMessage(id));
-    for (const char* id : {"run", "never", "completed"})
+    }
+    for (const char* id : {"run", "never", "completed"}) {
       journal.recordAttempt(id, {"e1", now.monotonic, false});
+    }
     journal.recordNeverRan("never", 0);
     journal.recordNoticePending("pending", {true, 250});
     journal.recordCompleted("completed");
@@ -57,14 +59,16 @@
 
 inline std::size_t countAttemptsThatMayHaveRun(const JournalEntry& entry) {
   std::size_t count = 0;
-  for (const JournaledAttempt& attempt : entry.attempts)
+  for (const JournaledAttempt& attempt : entry.attempts) {
     count += attempt.never_ran ? 0 : 1;
+  }
   return count;
 }
 
 inline std::ostream& operator<<(std::ostream& out, const RecoveryReport& report) {
-  for (const RecoveryReport::Field& field : report.fields())
+  for (const RecoveryReport::Field& field : report.fields()) {
     out << field.name << '=' << field.value << ' ';
+  }
   return out;
 }
 
@@ -85,8 +89,9 @@
   ReopenedJournal reopened;
   reopened.damaged = journal.recovered().damaged;
   reopened.report = journal.recovered().report;
-  for (const JournalEntry& entry : journal.recovered().entries)
+  for (const JournalEntry& entry : journal.recovered().entries) {
     reopened.entries[entry.message.id] = entry;
+  }
   return reopened;
 }
 
--- a/tests/storage/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -147,8 +147,9 @@
 std::uint64_t bytesOnDisk(const std::string& folder) {
   constexpr std::uint64_t kBlockBytes = 512;
   std::uint64_t sum = 0;
-  for (const auto& file : std::filesystem::directory_iterator(folder))
+  for (const auto& file : std::filesystem::directory_iterator(folder)) {
     sum += (file.file_size() + kBlockBytes - 1) / kBlockBytes * kBlockBytes;
+  }
   return sum;
 }
 
@@ -172,8 +173,9 @@
       ++accepted;
       journal.recordAccepted(message);
       open.push_back(message.id);
-      for (int attempt = 0; attempt < 12; ++attempt)
+      for (int attempt = 0; attempt < 12; ++attempt) {
         journal.recordAttempt(message.id, {"s-5be2a07c", i, false});
+      }
     }
     ASSERT_TRUE(journal.flush()) << i;
     ASSERT_LE(bytesOnDisk(folder.path()), kBudgetBytes);
--- a/tests/storage/power_cut_test.cpp
+++ b/tests/storage/power_cut_test.cpp
@@ -27,8 +27,9 @@
     Journal journal(kFolder, {kDiskBytes, durable}, kNow, disk);
     const int syncs_before = disk.syncCount();
     const int expected_syncs = syncs_before + (durable ? 1 : 0);
-    for (const char* id : {"a", "b", "c"})
+    for (const char* id : {"a", "b", "c"}) {
       journal.recordAccepted(testMessage(id));
+    }
     journal.recordAttempt("a", {"e1", kNow.monotonic, false});
     ASSERT_TRUE(journal.flush());
     EXPECT_EQ(expected_syncs, disk.syncCount());
@@ -51,8 +52,9 @@
   void run() {
     try {
       Journal journal(kFolder, {kBudgetBytes, durable_}, kNow, disk_);
-      for (int i = 0; i < 60; ++i)
+      for (int i = 0; i < 60; ++i) {
         acceptAndSend(journal, i);
+      }
     } catch (const JournalError&) {
       EXPECT_TRUE(promised_.empty());
     }
@@ -66,8 +68,9 @@
   void acceptAndSend(Journal& journal, int number) {
     const AcceptedMessage message = testMessage("m" + std::to_string(number), 3000);
     const std::string& id = message.id;
-    if (!journal.reserve(message))
+    if (!journal.reserve(message)) {
       return;
+    }
     journal.recordAccepted(message);
     if (!journal.flush()) {
       journal.recordCompleted(id);
@@ -75,8 +78,9 @@
     }
     promised_.insert(id);
     journal.recordAttempt(id, {"e1", kNow.monotonic, false});
-    if (journal.flush())
+    if (journal.flush()) {
       sent_.insert(id);
+    }
     if (number % 2 == 0) {
       journal.recordCompleted(id);
       journal.flush();
@@ -87,11 +91,14 @@
 
   void checkPromises() {
     const ReopenedJournal reopened = reopen(disk_);
-    for (const std::string& id : promised_)
+    for (const std::string& id : promised_) {
       EXPECT_TRUE(reopened.entries.count(id) > 0) << id;
-    for (const auto& [id, entry] : reopened.entries)
-      if (sent_.count(id) > 0)
+    }
+    for (const auto& [id, entry] : reopened.entries) {
+      if (sent_.count(id) > 0) {
         EXPECT_GT(countAttemptsThatMayHaveRun(entry), 0u) << id;
+      }
+    }
   }
 
   SimulatedDisk disk_;
@@ -105,13 +112,15 @@
 TEST(FailingCalls, LoseNothingThatWasPromised) {
   constexpr int kOnce = 1;
   constexpr int kFromThenOn = 1'000'000;
-  for (const int error : {ENOSPC, EIO})
-    for (const int fail_count : {kOnce, kFromThenOn})
+  for (const int error : {ENOSPC, EIO}) {
+    for (const int fail_count : {kOnce, kFromThenOn}) {
       for (int fail_from = 1; fail_from < 60; ++fail_from) {
         SCOPED_TRACE(std::to_string(error) + " from call " + std::to_string(fail_from) + " for " +
                      std::to_string(fail_count));
         FailingCallsRun(error, fail_from, fail_count).run();
       }
+    }
+  }
 }
 
 }  // namespace
--- a/tests/storage/record_codec_test.cpp
+++ b/tests/storage/record_codec_test.cpp
@@ -80,9 +80,10 @@
         Record(AttemptNeverRanRecord{"id", 5}), Record(NoticePendingRecord{"id", {true, 250}}),
         Record(CompletedRecord{"id"}), Record(EndpointListRecord{"{}"})}) {
     const std::string payload = encodeRecord(record, kClock);
-    for (std::size_t size = 1; size < payload.size(); ++size)
+    for (std::size_t size = 1; size < payload.size(); ++size) {
       EXPECT_EQ(RecordDecodeError::Reason::too_short, reasonOf(payload.substr(0, size)))
           << payload[0] << ' ' << size;
+    }
   }
 }
 
--- a/tests/storage/recovery_model_test.cpp
+++ b/tests/storage/recovery_model_test.cpp
@@ -21,12 +21,14 @@
 
   void run() {
     for (int round = 0; round < 8; ++round) {
-      for (int start = 0; start < 3; ++start)
+      for (int start = 0; start < 3; ++start) {
         runProcessUntilItEnds();
+      }
       disk_.kill_at_call = 0;
       checkPromises();
-      if (::testing::Test::HasFatalFailure())
+      if (::testing::Test::HasFatalFailure()) {
         return;
+      }
     }
   }
 
@@ -53,10 +55,11 @@
     }
     runProcess();
     disk_.fail_errno = 0;
-    if (below(3) == 0)
+    if (below(3) == 0) {
       powerCut();
-    else
+    } else {
       disk_.restart();
+    }
   }
 
   void runProcess() try {
@@ -64,13 +67,16 @@
     now_.unix += kSecondMicros;
     Journal journal(kFolder, {kBudgetBytes, durable_}, now_, disk_);
     attempts_.clear();
-    for (const JournalEntry& entry : journal.recovered().entries)
-      if (!entry.notice_pending)
+    for (const JournalEntry& entry : journal.recovered().entries) {
+      if (!entry.notice_pending) {
         attempts_[entry.message.id] = entry.attempts.size();
+      }
+    }
     for (int turn = 0; turn < 60 && !disk_.killed(); ++turn) {
       runTurn(journal);
-      if (::testing::Test::HasFatalFailure())
+      if (::testing::Test::HasFatalFailure()) {
         return;
+      }
     }
   } catch (const JournalError&) {
     return;  // a failing call stopped the start
@@ -80,16 +86,19 @@
     Turn turn;
     acceptMessages(journal, turn);
     advanceMessages(journal, turn);
-    for (const std::string& id : turn.completed)
+    for (const std::string& id : turn.completed) {
       promised_.erase(id);  // it may be there or not from here on
+    }
     const bool flushed = journal.flush();
     ASSERT_LE(disk_.bytesOnDisk(), kBudgetBytes);
-    if (disk_.killed())
+    if (disk_.killed()) {
       return;
-    if (flushed)
+    }
+    if (flushed) {
       keepPromises(turn);
-    else
+    } else {
       withdraw(journal, turn);
+    }
   }
 
   void acceptMessages(Journal& journal, Turn& turn) {
@@ -98,8 +107,9 @@
       const std::string id = "m" + std::to_string(last_message_);
       AcceptedMessage message = testMessage(id, static_cast<std::size_t>(below(900)));
       message.deadline = Deadline::after(now_.monotonic, message.time_to_live);
-      if (!journal.reserve(message))
+      if (!journal.reserve(message)) {
         continue;
+      }
       journal.recordAccepted(message);
       attempts_[id] = 0;
       turn.accepted.insert(id);
@@ -136,8 +146,9 @@
 
   void keepPromises(const Turn& turn) {
     promised_.insert(turn.accepted.begin(), turn.accepted.end());
-    for (const std::string& id : turn.sending)
+    for (const std::string& id : turn.sending) {
       ++may_have_run_[id];  // the call goes out
+    }
   }
 
   void withdraw(Journal& journal, const Turn& turn) {
@@ -145,9 +156,11 @@
       journal.recordCompleted(id);
       attempts_.erase(id);
     }
-    for (const std::string& id : turn.sending)
-      if (attempts_.count(id) > 0)
+    for (const std::string& id : turn.sending) {
+      if (attempts_.count(id) > 0) {
         journal.recordNeverRan(id, attempts_[id] - 1);
+      }
+    }
   }
 
   void powerCut() {
@@ -156,19 +169,23 @@
     now_.boot = "boot-" + std::to_string(boots_);
     now_.monotonic = kSecondMicros;
     now_.unix += 60 * kSecondMicros;
-    if (!durable_)
+    if (!durable_) {
       promised_.clear();  // the promise holds for the end of the process alone
+    }
   }
 
   void checkPromises() {
     now_.monotonic += kSecondMicros;
     const ReopenedJournal reopened = reopen(disk_, now_, durable_);
-    for (const std::string& id : promised_)
+    for (const std::string& id : promised_) {
       ASSERT_TRUE(reopened.entries.count(id) > 0) << id << " was accepted; " << reopened.report;
-    for (const auto& [id, entry] : reopened.entries)
-      if (may_have_run_.count(id) > 0 && may_have_run_[id] > 0 && !entry.notice_pending)
+    }
+    for (const auto& [id, entry] : reopened.entries) {
+      if (may_have_run_.count(id) > 0 && may_have_run_[id] > 0 && !entry.notice_pending) {
         ASSERT_GT(countAttemptsThatMayHaveRun(entry), 0u)
             << id << " would be sent again; " << reopened.report;
+      }
+    }
   }
 
   std::mt19937 random_;
@@ -183,13 +200,15 @@
 };
 
 TEST(RecoveryModel, PromisesHoldOverKillsFailingCallsAndPowerCuts) {
-  for (const bool durable : {false, true})
+  for (const bool durable : {false, true}) {
     for (unsigned seed = 1; seed <= 150; ++seed) {
       SCOPED_TRACE((durable ? "durable, seed " : "seed ") + std::to_string(seed));
       JournalModel(seed, durable).run();
-      if (::testing::Test::HasFatalFailure())
+      if (::testing::Test::HasFatalFailure()) {
         return;
+      }
     }
+  }
 }
 
 }  // namespace
--- a/tests/storage/recovery_report_test.cpp
+++ b/tests/storage/recovery_report_test.cpp
@@ -11,8 +11,9 @@
 
 std::string fieldsOf(const RecoveryReport& report) {
   std::string text;
-  for (const RecoveryReport::Field& field : report.fields())
+  for (const RecoveryReport::Field& field : report.fields()) {
     text += std::string(field.name) + "=" + field.value + ";";
+  }
   return text;
 }
 
--- a/tests/storage/recovery_test.cpp
+++ b/tests/storage/recovery_test.cpp
@@ -22,9 +22,10 @@
   for (std::size_t size = 0; size <= whole.size(); ++size) {
     const ReopenedJournal reopened = reopen(whole.substr(0, size));
     EXPECT_FALSE(reopened.damaged) << size;
-    for (const auto& [id, entry] : reopened.entries)
+    for (const auto& [id, entry] : reopened.entries) {
       EXPECT_LE(countAttemptsThatMayHaveRun(entry), 1u)
           << id << " got an unknown attempt after a mere cut at " << size;
+    }
     most_entries = std::max(most_entries, reopened.entries.size());
   }
   EXPECT_EQ(5u, most_entries);
@@ -33,7 +34,7 @@
 // Also in the last record and in each byte of a head: none is taken for a torn write.
 TEST(Recovery, EveryFlippedByteIsFoundAndNoAttemptIsForgotten) {
   const std::string whole = journalWithEveryRecordType();
-  for (std::size_t offset = 0; offset < whole.size(); ++offset)
+  for (std::size_t offset = 0; offset < whole.size(); ++offset) {
     for (const char bit : {'\x01', '\x80'}) {
       std::string data = whole;
       data[offset] = static_cast<char>(data[offset] ^ bit);
@@ -50,6 +51,7 @@
       EXPECT_TRUE(again.safeToResume()) << offset;
       EXPECT_EQ(reopened.entries.size(), again.entries.size()) << offset;
     }
+  }
 }
 
 TEST(Recovery, RepeatedAndSwappedBlocksForgetNoAttempt) {
@@ -66,7 +68,7 @@
   }
   const std::string whole = disk.content(kJournalPath);
   ASSERT_GT(whole.size(), 6 * kBlockBytes);
-  for (std::size_t first = 0; first + kBlockBytes <= whole.size(); first += kBlockBytes)
+  for (std::size_t first = 0; first + kBlockBytes <= whole.size(); first += kBlockBytes) {
     for (std::size_t second = 0; second + kBlockBytes <= whole.size(); second += kBlockBytes) {
       std::string swapped = whole;
       swapped.replace(first, kBlockBytes, whole.substr(second, kBlockBytes));
@@ -75,11 +77,13 @@
       repeated.insert(second, whole.substr(first, kBlockBytes));
       for (const std::string& data : {swapped, repeated}) {
         const ReopenedJournal reopened = reopen(data);
-        for (const auto& [id, entry] : reopened.entries)
+        for (const auto& [id, entry] : reopened.entries) {
           ASSERT_GT(countAttemptsThatMayHaveRun(entry), 0u) << id << ' ' << first << ' ' << second;
+        }
         EXPECT_GE(reopened.entries.size(), 30u);
       }
     }
+  }
 }
 
 std::vector<std::string> splitIntoFrames(const std::string& data) {
@@ -164,8 +168,9 @@
 template <class Unsigned>
 std::string littleEndian(Unsigned value) {
   std::string bytes;
-  for (std::size_t i = 0; i < sizeof value; ++i)
+  for (std::size_t i = 0; i < sizeof value; ++i) {
     bytes.push_back(static_cast<char>(value >> (8 * i) & 0xff));
+  }
   return bytes;
 }
 
--- a/tests/storage/simulated_disk.h
+++ b/tests/storage/simulated_disk.h
@@ -35,12 +35,15 @@
 
   void powerCut() {
     const std::map<std::string, std::shared_ptr<File>> files_before_cut(files_);
-    for (const auto& [name, file] : files_before_cut)
+    for (const auto& [name, file] : files_before_cut) {
       loseUnsyncedWrites(*file);
-    for (const auto& [name, file] : synced_files_)
+    }
+    for (const auto& [name, file] : synced_files_) {
       loseUnsyncedWrites(*file);
-    if (below(2) == 0)
+    }
+    if (below(2) == 0) {
       files_ = synced_files_;  // no rename since the last sync of the folder is on the disk
+    }
     synced_files_ = files_;
     restart();
   }
@@ -60,8 +63,9 @@
 
   void setContent(const std::string& name, const std::string& data) {
     auto& file = files_[name];
-    if (!file)
+    if (!file) {
       file = std::make_shared<File>();
+    }
     file->content = data;
     file->synced_content = data;
     file->unsynced_writes.clear();
@@ -72,14 +76,16 @@
   std::uint64_t bytesOnDisk() const {
     constexpr std::size_t kBlockBytes = 512;
     std::uint64_t sum = 0;
-    for (const auto& [name, file] : files_)
+    for (const auto& [name, file] : files_) {
       sum += (file->content.size() + kBlockBytes - 1) / kBlockBytes * kBlockBytes;
+    }
     return sum;
   }
 
   int open(const std::string& path, int flags) override {
-    if (!beginCall())
+    if (!beginCall()) {
       return -1;
+    }
     auto found = files_.find(path);
     if (found == files_.end()) {
       if ((flags & O_CREAT) == 0) {
@@ -88,16 +94,18 @@
       }
       found = files_.emplace(path, std::make_shared<File>()).first;
     }
-    if ((flags & O_TRUNC) != 0)
+    if ((flags & O_TRUNC) != 0) {
       found->second->resize(0);
+    }
     ++last_descriptor_;
     open_files_[last_descriptor_] = {found->second, 0};
     return last_descriptor_;
   }
 
   ssize_t read(int fd, char* to, std::size_t size) override {
-    if (!beginCall())
+    if (!beginCall()) {
       return -1;
+    }
     OpenFile& open_file = open_files_.at(fd);
     const std::string& content = open_file.file->content;
     const std::size_t count = content.copy(to, size, open_file.position);
@@ -107,35 +115,42 @@
 
   ssize_t write(int fd, const char* from, std::size_t size) override {
     const bool alive = beginCall();
-    if (!alive && !killed_in_this_call_)
+    if (!alive && !killed_in_this_call_) {
       return -1;
+    }
     std::size_t count = size;
-    if (!alive || (short_writes && size > 1))
+    if (!alive || (short_writes && size > 1)) {
       count = static_cast<std::size_t>(below(static_cast<int>(size)));
-    if (alive && count == 0)
+    }
+    if (alive && count == 0) {
       count = 1;
+    }
     killed_in_this_call_ = false;
-    if (count > 0)
+    if (count > 0) {
       open_files_.at(fd).file->append(std::string(from, count));
+    }
     return alive ? static_cast<ssize_t>(count) : -1;
   }
 
   int truncate(int fd, off_t size) override {
-    if (!beginCall())
+    if (!beginCall()) {
       return -1;
+    }
     open_files_.at(fd).file->resize(static_cast<std::size_t>(size));
     return 0;
   }
 
   off_t size(int fd) override {
-    if (!beginCall())
+    if (!beginCall()) {
       return -1;
+    }
     return static_cast<off_t>(open_files_.at(fd).file->content.size());
   }
 
   int sync(int fd) override {
-    if (!beginCall())
+    if (!beginCall()) {
       return -1;
+    }
     ++sync_count_;
     File& file = *open_files_.at(fd).file;
     file.synced_content = file.content;
@@ -144,24 +159,27 @@
   }
 
   int syncFolder(const std::string& /*path*/) override {
-    if (!beginCall())
+    if (!beginCall()) {
       return -1;
+    }
     ++sync_count_;
     synced_files_ = files_;
     return 0;
   }
 
   int rename(const std::string& from, const std::string& to) override {
-    if (!beginCall())
+    if (!beginCall()) {
       return -1;
+    }
     files_[to] = files_.at(from);
     files_.erase(from);
     return 0;
   }
 
   int unlink(const std::string& path) override {
-    if (!beginCall())
+    if (!beginCall()) {
       return -1;
+    }
     return files_.erase(path) > 0 ? 0 : -1;
   }
 
@@ -186,12 +204,15 @@
     void resize(std::size_t size) {
       content.resize(size);
       std::vector<Write> kept;
-      for (const Write& write : unsynced_writes)
-        if (write.offset < size)
+      for (const Write& write : unsynced_writes) {
+        if (write.offset < size) {
           kept.push_back({write.offset, write.data.substr(0, size - write.offset)});
+        }
+      }
       unsynced_writes = kept;
-      if (synced_content.size() > size)
+      if (synced_content.size() > size) {
         synced_content.resize(size);
+      }
     }
   };
 
@@ -225,10 +246,12 @@
   void loseUnsyncedWrites(File& file) {
     std::string kept = file.synced_content;
     for (const Write& write : file.unsynced_writes) {
-      if (below(3) == 0)
+      if (below(3) == 0) {
         continue;
-      if (kept.size() < write.offset + write.data.size())
+      }
+      if (kept.size() < write.offset + write.data.size()) {
         kept.resize(write.offset + write.data.size(), '\0');
+      }
       kept.replace(write.offset, write.data.size(), write.data);
     }
     file.content = kept;
--- a/tests/support/discovery_server.h
+++ b/tests/support/discovery_server.h
@@ -94,14 +94,16 @@
   Act answerWatch(const Seen& request) {
     long from = -1;
     const auto at = request.head.find("from=");
-    if (at != std::string::npos)
+    if (at != std::string::npos) {
       from = std::stol(request.head.substr(at + 5));
+    }
     std::unique_lock<std::mutex> lock(mutex_);
     watched_from_ = std::max(watched_from_, from);
     changed_.notify_all();
     changed_.wait_for(lock, kLong, [&] { return stop_ || index_ > from; });
-    if (stop_)
+    if (stop_) {
       return {"", true};
+    }
     const json body{{"index", index_}, {"snapshot", is_snapshot_}, {"endpoints", endpoints_}};
     return {answer("200 OK", "", body.dump())};
   }
--- a/tests/support/http_server.h
+++ b/tests/support/http_server.h
@@ -28,8 +28,9 @@
   // The value of a header field, in the case in which it was sent; empty if there is none.
   std::string field(const std::string& name) const {
     const auto at = head.find("\r\n" + name + ": ");
-    if (at == std::string::npos)
+    if (at == std::string::npos) {
       return "";
+    }
     const auto from = at + name.size() + 4;
     return head.substr(from, head.find("\r\n", from) - from);
   }
@@ -65,8 +66,9 @@
   ~Server() {
     stop_ = true;
     thread_.join();
-    for (auto& connection : connections_)
+    for (auto& connection : connections_) {
       connection.join();
+    }
   }
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
@@ -92,11 +94,13 @@
 
   void acceptLoop() {
     for (std::size_t count = 0; !stop_;) {
-      if (!readable(listener_.fd))
+      if (!readable(listener_.fd)) {
         continue;
+      }
       const int fd = ::accept4(listener_.fd, nullptr, nullptr, SOCK_CLOEXEC);
-      if (fd >= 0)
+      if (fd >= 0) {
         connections_.emplace_back([this, fd, id = count++] { serve(fd, id); });
+      }
     }
   }
 
@@ -120,13 +124,15 @@
   // Takes a complete request off the front of `received`; false: there is none yet.
   static bool extractRequest(std::string& received, Seen& request) {
     const auto end = received.find("\r\n\r\n");
-    if (end == std::string::npos)
+    if (end == std::string::npos) {
       return false;
+    }
     request.head = received.substr(0, end + 2);
     const std::string length = request.field("Content-Length");
     const std::size_t size = length.empty() ? 0 : std::stoul(length);
-    if (received.size() < end + 4 + size)
+    if (received.size() < end + 4 + size) {
       return false;
+    }
     request.body = received.substr(end + 4, size);
     received.erase(0, end + 4 + size);
     return true;
@@ -140,8 +146,9 @@
     }
     changed_.notify_all();
     const Act action = script_(request);
-    if (!action.bytes.empty())
+    if (!action.bytes.empty()) {
       (void)!::send(fd, action.bytes.data(), action.bytes.size(), MSG_NOSIGNAL);
+    }
     if (action.reset) {
       const linger reset_on_close{1, 0};
       ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
--- a/tests/support/journal_dump.h
+++ b/tests/support/journal_dump.h
@@ -49,45 +49,52 @@
         << m << "time it had in all, us: " << e.message.time_to_live << '\n'
         << m << "repeat: " << yesNo(e.message.is_retry) << '\n'
         << m << "attempts: " << e.attempts.size() << '\n';
-    for (std::size_t i = 0; i < e.attempts.size(); ++i)
+    for (std::size_t i = 0; i < e.attempts.size(); ++i) {
       out << m << "attempt " << i << ": endpoint " << quoted(e.attempts[i].endpoint)
           << ", sent at monotonic us " << e.attempts[i].sent_at
           << ", never ran: " << yesNo(e.attempts[i].never_ran) << '\n';
+    }
     out << m << "notification owed: ";
-    if (!e.notice_pending)
+    if (!e.notice_pending) {
       out << "none\n";
-    else
+    } else {
       out << (e.notice.returned ? "handed back" : "given up") << ", retry in ms " << e.notice.retry_after_ms
           << '\n';
+    }
   }
   out << "endpoint list: " << (list.empty() ? "none" : quoted(list)) << '\n';
   out << "health records: " << health.size() << '\n';
-  for (const HealthRecord& a : health)
+  for (const HealthRecord& a : health) {
     out << "health record of destination " << a.destination << " endpoint " << quoted(a.endpoint)
         << ": down: " << yesNo(a.ejected) << ", cold since monotonic us " << a.warming_since
         << ", wait until monotonic us " << a.retry_after_until << '\n';
+  }
   return out.str();
 }
 
 inline std::string openText(const RecoveredJournal& r) {
   std::vector<JournalEntry> entries;
   std::vector<HealthRecord> health;
-  for (const auto& [id, e] : r.state.entries())
+  for (const auto& [id, e] : r.state.entries()) {
     entries.push_back(e);
-  for (const auto& [key, a] : r.state.healthRecords())
+  }
+  for (const auto& [key, a] : r.state.healthRecords()) {
     health.push_back(a);
+  }
   return openText(entries, r.state.endpointList(), health);
 }
 
 inline std::string fileText(const RecoveredJournal& r) {
   std::ostringstream out;
   out << "records: " << r.scan.records.size() << '\n';
-  for (const auto& record : r.scan.records)
+  for (const auto& record : r.scan.records) {
     out << "record number " << record.sequence_number << ": format version " << record.version << ", type "
         << quoted(std::string(1, record.payload[0])) << ", bytes " << record.payload.size() << '\n';
+  }
   out << "damaged ranges: " << r.scan.damaged_ranges.size() << '\n';
-  for (const ByteRange& range : r.scan.damaged_ranges)
+  for (const ByteRange& range : r.scan.damaged_ranges) {
     out << "damaged range: bytes " << range.begin << " to " << range.end << '\n';
+  }
   out << "gaps in the numbers: " << r.gaps << '\n'
       << "unreadable records: " << r.unreadable_records << '\n'
       << "contradictory records: " << r.contradictory_records << '\n'
--- a/tests/support/listener.h
+++ b/tests/support/listener.h
@@ -37,8 +37,9 @@
   Listener& operator=(const Listener&) = delete;
 
   void close() {
-    if (fd >= 0)
+    if (fd >= 0) {
       ::close(fd);
+    }
     fd = -1;
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(port); }
@@ -60,8 +61,9 @@
     }
   }
   ~StuckListener() {
-    for (const int fd : fds_)
+    for (const int fd : fds_) {
       ::close(fd);
+    }
   }
   StuckListener(const StuckListener&) = delete;
   StuckListener& operator=(const StuckListener&) = delete;
--- a/tests/support/resp_client.h
+++ b/tests/support/resp_client.h
@@ -42,8 +42,9 @@
   bool sendSome(const std::string& bytes) {
     for (std::size_t sent = 0; sent < bytes.size();) {
       const ssize_t size = ::send(fd_, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
-      if (size <= 0)
+      if (size <= 0) {
         return false;
+      }
       sent += static_cast<std::size_t>(size);
     }
     return true;
@@ -66,12 +67,14 @@
         received_.erase(0, end + end_mark.size());
         return first;
       }
-      if (!waitUntilReadable())
+      if (!waitUntilReadable()) {
         return "";
+      }
       char piece[1024];
       const ssize_t size = ::recv(fd_, piece, sizeof piece, 0);
-      if (size <= 0)
+      if (size <= 0) {
         return "";
+      }
       received_.append(piece, static_cast<std::size_t>(size));
     }
   }
@@ -80,17 +83,20 @@
   // The peer closes the connection, rather than just sending nothing for long.
   bool closed() {
     char piece[1024];
-    while (waitUntilReadable())
-      if (::recv(fd_, piece, sizeof piece, 0) <= 0)
+    while (waitUntilReadable()) {
+      if (::recv(fd_, piece, sizeof piece, 0) <= 0) {
         return true;
+      }
+    }
     return false;
   }
 
   // A RESP request.
   static std::string request(const std::vector<std::string>& arguments) {
     std::string bytes = "*" + std::to_string(arguments.size()) + "\r\n";
-    for (const auto& argument : arguments)
+    for (const auto& argument : arguments) {
       bytes += "$" + std::to_string(argument.size()) + "\r\n" + argument + "\r\n";
+    }
     return bytes;
   }
   // Sends a request and waits for the reply.
--- a/tests/support/scheduler_fixture.h
+++ b/tests/support/scheduler_fixture.h
@@ -80,9 +80,11 @@
     arrival.message_class = class_name;
     arrival.destination = destination;
     arrival.order_key = key;
-    for (const MessageClass& each : settings.classes)
-      if (each.name == class_name)
+    for (const MessageClass& each : settings.classes) {
+      if (each.name == class_name) {
         arrival.deadline = Deadline::after(now, each.deadline);
+      }
+    }
     return arrival;
   }
   std::vector<std::string> arrive(const std::string& id, const std::string& class_name,
@@ -110,20 +112,23 @@
   std::vector<std::string> run(const std::vector<Event>& events) {
     actions = scheduler.decide(now, events);
     std::vector<std::string> sent;
-    for (const Action& action : actions)
+    for (const Action& action : actions) {
       if (const auto* send = std::get_if<SendAttempt>(&action)) {
         sent.push_back(send->id);
         sent_to[send->id] = send->endpoint;
         timeout[send->id] = send->timeout;
       }
+    }
     return sent;
   }
   template <class T>
   std::vector<T> got() const {
     std::vector<T> found_actions;
-    for (const Action& action : actions)
-      if (const auto* found = std::get_if<T>(&action))
+    for (const Action& action : actions) {
+      if (const auto* found = std::get_if<T>(&action)) {
         found_actions.push_back(*found);
+      }
+    }
     return found_actions;
   }
 
--- a/tests/support/sender_program.h
+++ b/tests/support/sender_program.h
@@ -80,13 +80,15 @@
                {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}, {"disk_mb", disk_mb}}},
                {"known", {{"index", 1}, {"snapshot", true}, {"endpoints", std::move(endpoints)}}},
                {"settings", std::move(settings)}};
-    if (more.is_object())
+    if (more.is_object()) {
       config_.update(more);
+    }
     start();
   }
   ~Program() {
-    if (pid_ > 0)
+    if (pid_ > 0) {
       kill();
+    }
   }
   Program(const Program&) = delete;
   Program& operator=(const Program&) = delete;
@@ -125,8 +127,9 @@
   // Starts a process and returns its id; `passed`: a listening socket for it.
   static pid_t spawn(const std::string& config, const std::string& state, int passed = -1) {
     const pid_t pid = ::fork();
-    if (pid != 0)
+    if (pid != 0) {
       return pid;
+    }
     ::unsetenv("GW_PASSED_SOCKET");
     if (passed >= 0) {
       constexpr int kPassedSocket = 5;
--- a/tests/support/temp_folder.h
+++ b/tests/support/temp_folder.h
@@ -15,8 +15,9 @@
     path_ = ::mkdtemp(pattern.data());
   }
   ~TempFolder() {
-    for (const char* suffix : {"", "-tmp", "-config.json"})
+    for (const char* suffix : {"", "-tmp", "-config.json"}) {
       std::filesystem::remove_all(path_ + suffix);
+    }
   }
   TempFolder(const TempFolder&) = delete;
   TempFolder& operator=(const TempFolder&) = delete;
--- a/tests/support/wait.h
+++ b/tests/support/wait.h
@@ -14,8 +14,9 @@
   constexpr std::chrono::milliseconds kInterval{5};
   const auto deadline = std::chrono::steady_clock::now() + kLong;
   while (!holds()) {
-    if (std::chrono::steady_clock::now() > deadline)
+    if (std::chrono::steady_clock::now() > deadline) {
       return false;
+    }
     std::this_thread::sleep_for(kInterval);
   }
   return true;
