--- a/src/common/decayed_rate.h
+++ b/src/common/decayed_rate.h
@@ -12,10 +12,11 @@
   return std::exp(-static_cast<double>(age) / 1e6 / span_seconds);
 }
 
+// Events a second. All calls on one object have to pass the same `span_seconds`.
 struct DecayedRate {
   double per_second = 0;  // as of `updated_at`
   Micros updated_at = 0;
-  Micros first_event = -1;
+  Micros first_event = -1;  // -1: none yet
 
   double at(Micros now, double span_seconds) const {
     return per_second * decayOver(now - updated_at, span_seconds);
--- a/src/common/events.h
+++ b/src/common/events.h
@@ -1,4 +1,4 @@
-// What the event loop reports to the decision module. Types only: no decision stands here.
+// Events: what the event loop reports to the decision module. Types only.
 #pragma once
 
 #include <optional>
@@ -21,13 +21,15 @@
   double weight = 0;  // calls a second that the destination (or route) takes, see WeightKind
 };
 
-struct LoadReport {             // of the destination's rate limit, sent with an answer
+struct LoadReport {             // a destination's rate limit, as reported with an answer
   double remaining_share = 0;   // share of the allowance left
   double limit_per_second = 0;  // calls a second; 0: no limit
 };
 
+// Only after throttled, connect_failed and not_sent has the message certainly not run.
 enum class AttemptResult { ok, error, throttled, timeout, connect_failed, reset, cancelled, not_sent };
 
+// A client submits a message.
 struct Arrival {
   std::string id, message_class, tenant, order_key;
   std::int64_t destination = 0;
@@ -37,7 +39,7 @@
 };
 
 struct RecoveredAttempt {
-  std::string endpoint;  // may be listed no more, or unknown
+  std::string endpoint;  // empty: not known; else it may have left the list
   Micros sent_at = 0;    // may be before the first turn
   bool may_have_run = true;
   bool in_flight = false;  // the earlier process waits for its outcome and will forward it
@@ -61,7 +63,7 @@
 };
 
 struct ShutdownScheduled {
-  Micros at = 0;  // outcomes that come later are lost
+  Micros at = 0;  // monotonic; outcomes that arrive later are lost
 };
 
 struct Abandoned {  // the client no longer waits for this message
@@ -79,6 +81,7 @@
   std::optional<LoadReport> load_report;
 };
 
+// delta: only what changed; full, cached: the whole list, from discovery or from a copy; failed: no list.
 enum class EndpointUpdateKind { delta, full, cached, failed };
 struct EndpointsChanged {
   EndpointUpdateKind kind = EndpointUpdateKind::full;
--- a/src/decision/admission_control.h
+++ b/src/decision/admission_control.h
@@ -1,4 +1,4 @@
-// What the delivery of a message is worth, and which messages are shed when there are too many.
+// The value of delivering a message, and which messages are shed under overload.
 #pragma once
 
 #include "decision/fair_queue.h"
@@ -6,11 +6,11 @@
 
 namespace delivery {
 
-constexpr double kMaxWaitShare = 0.5;  // of the tightest objective may the wait for a slot be ...
-constexpr double kMinValueKept = 0.9;  // ... for messages that lose more than the rest of their value by it
-constexpr double kBrokenPromiseCost = 0.3;  // of its weight: for rejecting what was accepted earlier ...
-constexpr double kPromiseSpan = 0.7;        // ... and has not run, within so much of its time
-constexpr double kReservedShare = 0.06;     // of max_messages, kept free for better messages
+constexpr double kMaxWaitShare = 0.5;  // longest wait for a slot, as a share of the tightest objective
+constexpr double kMinValueKept = 0.9;  // beyond it, messages that would keep less of their value are shed
+constexpr double kBrokenPromiseCost = 0.3;  // share of its weight: cost of rejecting an accepted message ...
+constexpr double kPromiseSpan = 0.7;        // ... that has not run, within this share of its lifetime
+constexpr double kReservedShare = 0.06;     // of max_messages, kept free for more valuable messages
 
 struct ShedCandidate {
   double value;  // left when the backlog has drained
@@ -33,7 +33,7 @@
     if (message.tenant) turn.count(tenant_rates[name]);
   }
 
-  // The part of a tenant's traffic inside its quota counts in full, as far as this sender sees it.
+  // Traffic within the quota has full weight, the excess over_quota_weight; as measured by this sender.
   double tenantFactor(const Tenant& tenant) const {
     const double quota = tenant.quota / turn.settings.sender_count;
     const double rate = turn.perSecond(tenant_rates.at(tenant.name));
@@ -75,8 +75,8 @@
     return candidates;
   }
 
-  // Near the limit of held messages the least valuable are shed. One of many senders also sheds those that
-  // would come late when all its slots are used; with few senders that shows an outage alone.
+  // Near max_messages the least valuable messages are shed. One of many senders also sheds those that would
+  // be late while all its slots are used; with few senders, full slots only indicate an outage.
   std::vector<Message*> selectToShed(int open_messages, bool all_slots_used) const {
     const int reserved = std::max(1, static_cast<int>(kReservedShare * turn.settings.max_messages));
     const int most = std::max(1, turn.settings.max_messages - reserved);
--- a/src/decision/connection_reuse.h
+++ b/src/decision/connection_reuse.h
@@ -7,7 +7,7 @@
 namespace delivery {
 
 constexpr double kDeadSigns = 2.5;          // signs within the slow start time; half for one of many senders
-constexpr Micros kSuspicionSlowStarts = 3;  // a sign is heeded for so many slow start times
+constexpr Micros kSuspicionSlowStarts = 3;  // a sign counts for this many slow start times
 constexpr double kMinReuses = 2;            // a connection with fewer expected uses is closed ...
 constexpr double kCrowdedSenders = 10;      // ... where so many senders share an endpoint, less so below
 
@@ -37,7 +37,7 @@
     return idled;
   }
 
-  // Endpoints take few connections: none is kept without expected uses, or where a connect failed of late.
+  // Endpoints accept few connections: none is kept without expected uses or after a recent connect failure.
   void keep(Endpoint& endpoint) {
     endpoint.idle_connections.push_back(turn.now);
     const double own_rate = turn.perSecond(endpoint.destination->traffic);
--- a/src/decision/fair_queue.h
+++ b/src/decision/fair_queue.h
@@ -1,4 +1,4 @@
-// RBFQ over destinations (RePAIR, section 3.1): local tags by reservations, global tags by weights.
+// Reservation-based fair queuing (RePAIR, 3.1) of destinations: local tags by reservation, global by weight.
 #pragma once
 
 #include "decision/outlier_detection.h"
@@ -17,7 +17,7 @@
 struct FairQueue {
   const Turn& turn;
   const OutlierDetector& detector;
-  std::map<std::int64_t, Destination*> backlog{};  // destinations with held messages
+  std::map<std::int64_t, Destination*> backlog{};  // destinations with queued messages
   double global_shift = 0;                         // added to every stored global tag
 
   // Tag adjustment: moves all global tags so that the smallest is now.
@@ -35,7 +35,7 @@
     return kMicrosPerSecond;
   }
 
-  // Tag assignment, with M = one start for each objective of the most urgent held class.
+  // Tag assignment, with M = one start for each objective of the most urgent class queued.
   void push(Message& message, Micros not_before) {
     Destination& destination = *message.destination;
     Tag& last = destination.last_tag;
@@ -62,8 +62,8 @@
     if (destination.held.empty()) backlog.erase(destination.id);
   }
 
-  // Takes out a message to send, with the first tag. A start in the global phase leaves the reservation as
-  // is.
+  // Removes a message to send, with the first tag. A start in the global phase leaves the reservation
+  // unchanged.
   void start(Message& message, bool in_global_phase) {
     Destination& destination = *message.destination;
     erase(message);
@@ -73,7 +73,7 @@
     destination.last_tag.local -= destination.reservation_period;
   }
 
-  // Takes out a message that leaves unserved, with its destination's last tag.
+  // Removes a message that is not to be sent, with its destination's last tag.
   void withdraw(Message& message) {
     Destination& destination = *message.destination;
     erase(message);
--- a/src/decision/outlier_detection.h
+++ b/src/decision/outlier_detection.h
@@ -1,4 +1,4 @@
-// Tells which endpoints are outliers, ejects those out of service, and keeps outliers to their bulkhead.
+// Detects outlier endpoints, ejects those that serve nothing, and limits the call slots outliers may use.
 #pragma once
 
 #include "decision/state.h"
@@ -8,11 +8,11 @@
 constexpr int kFailuresToEject = 3;  // in a row; where a sender is one of many, one
 constexpr double kMaxFailureShare = 0.5;
 constexpr double kOutcomeGain = 0.25;   // weight of the newest outcome in the shares
-constexpr double kSlowRatio = 4;        // recent over usual latency, against the common slowdown
+constexpr double kSlowRatio = 4;        // recent over usual latency, relative to the common slowdown
 constexpr double kRecentGain = 0.25;    // weight of the newest latency in the recent one
 constexpr double kUsualGain = 0.04;     // and in the usual one
-constexpr double kTimeoutRatio = 8;     // a call may take so many usual latencies
-constexpr double kOverdueRatio = 4;     // unanswered for so many usual latencies: overdue
+constexpr double kTimeoutRatio = 8;     // time-out of a call, in usual latencies
+constexpr double kOverdueRatio = 4;     // overdue after this many usual latencies without an answer
 constexpr double kBulkheadShare = 0.5;  // of the slots, for all outliers together; one slot at least
 
 struct OutlierDetector {
@@ -91,7 +91,7 @@
     if (health.latency_samples == 0) health.usual_latency = latency;
     double& usual = health.usual_latency;
     const double ratio = latency / std::max(1.0, usual);
-    if (!answered && ratio < health.relative_latency) return;  // a quick failure tells nothing of the pace
+    if (!answered && ratio < health.relative_latency) return;  // a quick failure is no sample of the latency
     health.relative_latency += kRecentGain * (ratio - health.relative_latency);
     const double gain = std::max(kUsualGain, 1.0 / (health.latency_samples + 1));
     if (answered && !isOutlier(health)) usual += gain * (std::min(latency, kSlowRatio * usual) - usual);
--- a/src/decision/rate_limiter.h
+++ b/src/decision/rate_limiter.h
@@ -5,21 +5,21 @@
 
 namespace delivery {
 
-constexpr double kBurstSeconds = 0.5;      // of a limit's calls may leave at once
-constexpr double kMaxShare = 0.25;         // of a limit that a busy one of many senders counts on
-constexpr double kInitialPortions = 2;     // a sender starts from so many portions of a limit
-constexpr double kDecreaseFactor = 0.75;   // of the quota after a throttled call ...
-constexpr double kMinPortions = 0.5;       // ... down to so much of a portion
-constexpr double kIncrease = 0.05;         // of a portion, for each overload window without throttled calls
-constexpr double kLearnedIncrease = 0.02;  // of a learned limit, with each call served
-constexpr double kMaxStretch = 4;          // consecutive throttles stretch the gap up to so many times
-constexpr double kMaxTrialGap = 0.25;      // of the overload window, between trials of an ejected destination
+constexpr double kBurstSeconds = 0.5;      // burst: the calls of this span may be sent at once
+constexpr double kMaxShare = 0.25;         // of a limit: the largest portion claimed by own traffic
+constexpr double kInitialPortions = 2;     // initial quota, in portions of a limit, see portion()
+constexpr double kDecreaseFactor = 0.75;   // multiplicative decrease of the quota after a throttled call ...
+constexpr double kMinPortions = 0.5;       // ... down to this many portions
+constexpr double kIncrease = 0.05;         // additive increase of the quota, in portions per overload window
+constexpr double kLearnedIncrease = 0.02;  // of a learned limit, per call that was not throttled
+constexpr double kMaxStretch = 4;          // longest gap after consecutive throttled calls, in ordinary gaps
+constexpr double kMaxTrialGap = 0.25;      // between trials of an ejected destination, in overload windows
 
 struct RateLimiter {
   Turn& turn;
   const OutlierDetector& detector;
 
-  // A sender's portion is an even one, or what it wants up to a fixed share: even ones would starve the busy.
+  // A sender's portion: an even one, or what it needs up to kMaxShare; even ones would starve the busy ones.
   double portion(double limit, double wanted) const {
     return std::max(1.0 / turn.settings.sender_count, std::min(wanted / std::max(limit, 1e-9), kMaxShare));
   }
@@ -67,8 +67,8 @@
     return passes ? scope.rate.retry_after_until : std::max(scope.rate.retry_after_until, paced);
   }
 
-  // When the next call may leave. Where this sender is one of many, the first attempt of `message` passes a
-  // pacing that would outlast it, unless the destination is ejected.
+  // When the next call may be sent. If this sender is one of many, the first attempt of `message` ignores
+  // pacing that would outlast its deadline, unless the destination is ejected.
   Micros opensAt(Endpoint& endpoint, const Message* message) const {
     const Destination& destination = *endpoint.destination;
     const double limit = endpoint.scope().rate.limit;
@@ -81,7 +81,7 @@
     return std::max(opensAt(endpoint.own, must_leave_by), opensAt(destination.shared, must_leave_by));
   }
 
-  // How long the messages held for a destination take at its present rate.
+  // How long it takes to send a destination's queued messages at its present rate, in microseconds.
   Micros drainTime(const Destination& destination) const {
     double rate = 0;
     for (Endpoint* endpoint : destination.endpoints) {
@@ -103,7 +103,7 @@
     scope.rate.next_send_tag = std::clamp(scope.rate.next_send_tag, now - burst, now) + stretched;
   }
 
-  // For a call that leaves now. An endpoint that shares its destination's limit counts on its part of it.
+  // For a call that is sent now. An endpoint without its own route also has an even part of the limit.
   void chargeCall(Endpoint& endpoint) const {
     TrafficScope& scope = endpoint.scope();
     const double ready = endpoint.destination->readyEndpoints();
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -5,8 +5,8 @@
 
 namespace delivery {
 
-constexpr double kNonIdempotentPatience = 2;  // a call that can't be repeated waits so many times longer
-constexpr double kMaxUnknownShare = 0.3;      // nor is one started where so many calls ended in the unknown
+constexpr double kNonIdempotentPatience = 2;  // factor of a non-idempotent call's time-out
+constexpr double kMaxUnknownShare = 0.3;      // none is started where more of the latest outcomes are unknown
 
 struct RetryPolicy {
   const Turn& turn;
@@ -50,8 +50,8 @@
     return message.attempts.empty() && message.destination->endpoints.empty();
   }
 
-  // Many usual latencies, stretched by the present slowness; at least a tick, as answers are heard once a
-  // tick.
+  // kTimeoutRatio usual latencies, stretched by the present slowdown; at least a tick, as outcomes are
+  // processed once a tick.
   Micros timeout(const Message& message, Endpoint& endpoint) const {
     const HealthStats& health = endpoint.own.health;
     const double left = std::max<Micros>(1, message.expires_at - turn.now), tick = turn.settings.tick;
@@ -64,7 +64,7 @@
   }
 
   // Exponential backoff, sized so that the remaining attempts last for the time left. One of many senders
-  // waits for an objective at least, as its retry would take the place of a first attempt still in time.
+  // waits for an objective at least, as an earlier retry would displace a first attempt still in time.
   Micros nextAttemptAt(const Message& message, Endpoint& endpoint) const {
     const int attempts_left = turn.settings.max_attempts - static_cast<int>(message.attempts.size());
     const double left = message.expires_at - turn.now;
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -41,7 +41,7 @@
   std::set<Expiry> expiries;
   std::uint64_t last_order = 0;
   int open_messages = 0;
-  Micros timer_at = kNever, shutdown_at = kNever;  // no outcome is heard after the shutdown
+  Micros timer_at = kNever, shutdown_at = kNever;  // outcomes after the shutdown are lost
 
   Impl(Settings settings, std::uint64_t seed) : turn(std::move(settings), seed) {}
 
@@ -77,7 +77,7 @@
     }
     const bool moved = std::abs(health.warming_since - health.last_persisted) > window / 2;
     if (health.ejected == was_ejected && retry_after <= 0 && !moved) return;
-    // The next process starts with a backlog, and must not overload what has just returned.
+    // The next process starts with a backlog, and must not overload a destination that just recovered.
     health.last_persisted = health.warming_since;
     turn.actions.emplace_back(HealthRecord{endpoint.hasOwnRoute() ? endpoint.info.id : "",
                                            endpoint.destination->id, health.ejected, health.warming_since,
@@ -105,11 +105,11 @@
 
   bool accepts(Endpoint& endpoint, const Message& message) const {
     if (!endpoint.isReady() || !policy.maySend(message, endpoint)) return false;
-    // Before a shutdown only calls are started whose outcome will be heard.
+    // Before a shutdown only calls are started whose outcome will arrive in time.
     const double patience = kOverdueRatio * kNonIdempotentPatience * detector.common_slowdown;
     const bool heard = shutdown_at - turn.now >= patience * detector.usualLatency(endpoint);
     if (shutdown_at != kNever && (detector.isOutlier(endpoint) || !heard)) return false;
-    // A message that can't be repeated is no trial for a failing endpoint until half of its time is used up.
+    // A non-idempotent message does not probe a failing endpoint until half of its deadline has passed.
     const HealthStats &shared = endpoint.scope().health, &own = endpoint.own.health;
     const bool risky = std::max(shared.unknown_share, own.unknown_share) > kMaxUnknownShare;
     return message.rules->idempotency != Idempotency::non_idempotent || !risky ||
@@ -192,7 +192,7 @@
         fillCall(*destination, *endpoint);
         return true;
       }
-      destination->blocked_at = turn.now;  // a start elsewhere opens nothing here
+      destination->blocked_at = turn.now;  // a call to another destination does not unblock it
     }
     return false;
   }
@@ -224,7 +224,7 @@
     messages.erase(messages.find(message.id));
   }
 
-  // The final answer of a message that was not delivered: a rejection, if that is wanted and harmless.
+  // The final answer of a message that was not delivered: a rejection only if resubmitting does no harm.
   void giveUp(Message& message, bool reject) {
     if (!message.ended && reject && RetryPolicy::mayReject(message)) {
       const Micros wait = message.destination->shared.rate.retry_after_until - turn.now;
@@ -238,7 +238,7 @@
     forget(message);
   }
 
-  // Holds a new message in the queue; null for an unknown class or a message that is known already.
+  // Queues a new message; null for an unknown class or a message that is known already.
   Message* accept(const Arrival& arrival) {
     const MessageClass* rules = nullptr;
     for (const MessageClass& each : turn.settings.classes)
@@ -271,7 +271,7 @@
     if (message && (full || !policy.hasAttemptLeft(*message))) giveUp(*message, true);
   }
 
-  // Earlier attempts count as made. What was never tried is tried, whatever is full: it was accepted.
+  // Earlier attempts count. A message without one is attempted even at full capacity, as it was accepted.
   void apply(const RecoveredMessage& recovered) {
     Message* message = accept(recovered.message);
     if (!message) return;
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -36,7 +36,7 @@
     if (when > now) next_wake = std::min(next_wake, when);
   }
   bool isOneOfMany() const { return kRareShare * settings.sender_count > 1; }
-  // Corrected for the part of the span that was not observed yet; to one of many a few events are no rate.
+  // Corrected for the part of the span not observed yet, except for one of many: a few events are no rate.
   double perSecond(const DecayedRate& rate) const {
     const Micros observed = std::max(now - rate.first_event, settings.overload_window + 1);
     return rate.at(now, warm_up_seconds) / (isOneOfMany() ? 1 : 1 - decayOver(observed, warm_up_seconds));
@@ -97,13 +97,13 @@
 struct Destination {
   std::int64_t id = 0;
   std::vector<Endpoint*> endpoints;
-  std::vector<Message*> held;
-  std::deque<Tag> tags;  // one for each held message; the most valuable message takes the first
+  std::vector<Message*> held;  // queued here: neither in flight nor ended
+  std::deque<Tag> tags;        // one for each queued message; the next message to send takes the first
   Tag last_tag{-1e18, -1e18};
   double reservation_period = 1;  // 1/M, in microseconds
   DecayedRate traffic;            // own messages
-  Micros lost_after_idle = -1;  // a call was lost on a connection that had idled so long, none answered since
-  Micros blocked_at = -kNever;  // the turn in which nothing could leave
+  Micros lost_after_idle = -1;    // idle time of a connection that lost a call, until a call is answered
+  Micros blocked_at = -kNever;    // the turn in which nothing could leave
   TrafficScope shared;
 
   double readyEndpoints() const {  // one at least, to divide by
@@ -131,13 +131,13 @@
   Micros arrived_at = 0, submitted_at = 0, expires_at = 0, not_before = 0, latency_objective = 0;
   std::uint64_t order = 0;
   std::vector<Attempt> attempts;
-  bool held = false, ended = false, recovered = false;
+  bool held = false, ended = false, recovered = false;  // held: queued; recovered: after a restart
   int attempts_in_flight = 0;
 
   bool mayHaveRun() const {
     return std::any_of(attempts.begin(), attempts.end(), [](auto& each) { return each.may_have_run; });
   }
-  bool isOwedAttempt() const { return recovered && attempts.empty(); }  // it has waited longest
+  bool isOwedAttempt() const { return recovered && attempts.empty(); }  // sent before all others
 };
 
 struct AttemptRef {
--- a/src/network/client_admission.h
+++ b/src/network/client_admission.h
@@ -45,12 +45,12 @@
   void onRequestMalformed(ConnectionId id, Micros now);  // it is closed once it has taken its error reply
   void onClosed(ConnectionId id);
 
-  // Who goes on, as far as the budget allows.
+  // The connection that may continue now. None: nothing waits, or the budget is used up.
   std::optional<ConnectionId> nextQueuedRequest();
   std::optional<ConnectionId> nextResumedReader();
   bool hasStalledReaders() const { return !stalled_readers_.empty(); }
 
-  // Under pressure: the connection to close, if one may be closed now.
+  // While the table or the buffer pool is full: the connection to close, if one may be closed now.
   std::optional<ConnectionId> evictionCandidate(Micros now) const;
   std::optional<ConnectionId> bufferEvictionCandidate(Micros now) const;
   void onUnreadInput(ConnectionId id);  // seen in its socket: it is no candidate until that is read
@@ -58,7 +58,7 @@
   std::optional<PressureEvent> pollPressure(Micros now);
   bool isUnderPressure() const { return pressure_.isActive(); }
 
-  // Answers the connections to close now, unless they have unread input.
+  // Returns the connections to close now, unless they have unread input.
   std::vector<ConnectionId> startDraining(Micros now);
   void stopDraining() { is_draining_ = false; }
   bool isDraining() const { return is_draining_; }
--- a/src/network/client_connection.h
+++ b/src/network/client_connection.h
@@ -1,4 +1,4 @@
-// What is known of each client connection: its state, and what its peer address holds in all.
+// The state of each client connection, and the totals of each peer address.
 //
 // Deadlines and eviction by state (values in client_admission.cpp and client_eviction.cpp):
 //
@@ -30,7 +30,7 @@
 // All connections from one address.
 struct PeerUsage {
   std::size_t connections = 0;
-  std::size_t buffered_bytes = 0;
+  std::size_t buffered_bytes = 0;  // received and not processed yet
 };
 
 struct ClientConnection {
@@ -41,7 +41,7 @@
   std::size_t buffered_bytes = 0;
   bool has_submitted = false;      // a message in proper form
   bool has_been_answered = false;  // any request
-  bool has_open_request = false;   // one that awaits its reply without counts as queued for its turn
+  bool has_open_request = false;   // false while awaiting_reply: the request is queued for its turn
   bool is_stalled = false;         // not read from, as the buffer pool is used up
   bool has_unread_input = false;   // in its socket
   bool had_grace_read = false;     // its deadline has passed, and it was granted one read of unread input
--- a/src/network/client_eviction.cpp
+++ b/src/network/client_eviction.cpp
@@ -50,9 +50,9 @@
 };
 
 // None: never. An open request is never evicted. A client in the middle of a request has a deadline for the
-// rest of it. A connection that was answered and submitted nothing is held no longer than one that sent
-// nothing: else clients would queue behind a crowd that asks once and stays, for longer than they wait for a
-// reply.
+// rest of it. A connection that was answered and submitted nothing is kept no longer than one that sent
+// nothing: else clients would queue behind many that send one request and stay, for longer than they wait
+// for a reply.
 std::optional<Micros> silenceBeforeEviction(const ClientConnection& connection,
                                             std::size_t most_connections) {
   if (connection.has_unread_input) {
@@ -113,8 +113,8 @@
     return silence && now_ - connection.silent_since >= *silence;
   }
 
-  // What a client uses goes last of all, unless its peer holds over half of the table: a crowd from many
-  // addresses would push clients out otherwise, and each close of theirs may cross their next message.
+  // Connections that have submitted are evicted last, unless their peer has over half of the table: many
+  // other addresses would displace clients otherwise, and each close may cross a client's next message.
   bool isProtected(const ClientConnection& connection) const {
     return connection.has_submitted && 2 * connection.peer->connections <= clients_.connections.size();
   }
--- a/src/network/client_eviction.h
+++ b/src/network/client_eviction.h
@@ -7,10 +7,10 @@
 
 namespace delivery {
 
-// When somebody waits to connect and the table is full. None: no connection may be closed now.
+// For when the table is full and a client waits to connect. None: no connection may be closed now.
 std::optional<ConnectionId> findEvictionCandidate(const ClientTable& clients, Micros now);
 
-// When the buffer pool is used up: a partial request of the peer with the most buffered bytes.
+// For when the buffer pool is used up: a partial request of the peer with the most buffered bytes.
 std::optional<ConnectionId> findBufferEvictionCandidate(const ClientTable& clients, Micros now);
 
 }  // namespace delivery
--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -340,7 +340,7 @@
   session->waitForInput();
 }
 
-// For what has no event: a connection has been silent for long enough to be evicted.
+// Polls for a condition without an event: a connection has been silent for long enough to be evicted.
 void ClientServer::scheduleCapacityCheck() {
   if (capacity_check_scheduled_) {
     return;
--- a/src/network/client_server.h
+++ b/src/network/client_server.h
@@ -21,7 +21,7 @@
 class ClientServer {
  public:
   using Reply = std::function<void(const SubmitReply&)>;  // called once
-  // A client submits a message. Answers by the reply, now or later.
+  // A client submits a message. It is answered by calling the reply, now or later.
   using OnSubmit = std::function<void(AcceptedMessage, Reply)>;
 
   ClientServer(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor acceptor,
--- a/src/network/completion_notifier.cpp
+++ b/src/network/completion_notifier.cpp
@@ -1,4 +1,3 @@
-// Completion notices; see completion_notifier.h.
 #include "network/completion_notifier.h"
 
 #include <algorithm>
--- a/src/network/control_server.h
+++ b/src/network/control_server.h
@@ -16,8 +16,8 @@
 
 class ControlServer {
  public:
-  using OnCommand =
-      std::function<std::string(const std::string& line)>;  // answers the reply, without its end
+  // Returns the reply line. Both lines are without their ends.
+  using OnCommand = std::function<std::string(const std::string& line)>;
 
   // Throws boost::system::system_error when the address can't be listened on.
   ControlServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
--- a/src/network/deadline_table.h
+++ b/src/network/deadline_table.h
@@ -1,4 +1,4 @@
-// The deadlines of a set of connections.
+// The deadlines of a set of connections, as points on the monotonic clock.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace delivery {
 
-using ConnectionId = std::uint64_t;  // never used twice by one table of connections; goes up
+using ConnectionId = std::uint64_t;  // unique and ascending within one table of connections
 
 constexpr Micros kNoDeadline = INT64_MAX;
 
--- a/src/network/discovery_client.cpp
+++ b/src/network/discovery_client.cpp
@@ -1,4 +1,3 @@
-// The connection to discovery; see discovery_client.h.
 #include "network/discovery_client.h"
 
 #include <chrono>
--- a/src/network/discovery_client.h
+++ b/src/network/discovery_client.h
@@ -11,9 +11,9 @@
 
 namespace delivery {
 
-// Carries one request at a time over one connection, which is replaced when it can't be reused. What is under
-// way when the client is destroyed, stopped or sent to another server is called off, and its callback never
-// called.
+// Carries one request at a time over one connection, which is replaced when it can't be reused. A
+// request under way when the client is destroyed, stopped or changes the server is cancelled, and its
+// callback is never called.
 class DiscoveryClient {
  public:
   DiscoveryClient(boost::asio::io_context& io, tcp::endpoint server, std::string host);
--- a/src/network/endpoint_watch.cpp
+++ b/src/network/endpoint_watch.cpp
@@ -1,4 +1,3 @@
-// The watch of the endpoint list; see endpoint_watch.h.
 #include "network/endpoint_watch.h"
 
 #include <algorithm>
@@ -14,8 +13,8 @@
 constexpr Micros kMicrosPerMs = 1000;
 constexpr Micros kWatchHold = 20'000'000;       // how long discovery may hold a request open
 constexpr Micros kResponseTimeout = 1'500'000;  // on top of that, for the response itself
-// The longest backoff, jitter included, stays below 6 s: by then the platform counts on each sender having
-// heard of a change.
+// The longest backoff, jitter included, stays below 6 s: by then the platform expects each sender to know
+// of a change.
 constexpr Micros kInitialBackoff = 100'000;
 constexpr Micros kMaxBackoff = 3'200'000;
 constexpr int kMaxBackoffDoublings = 8;
--- a/src/network/http_connection.cpp
+++ b/src/network/http_connection.cpp
@@ -1,4 +1,3 @@
-// The HTTP connection; see http_connection.h.
 #include "network/http_connection.h"
 
 #include <algorithm>
@@ -62,7 +61,7 @@
 }  // namespace
 
 // Handlers of an earlier exchange may still be queued when the next one begins, or when the connection is
-// destroyed: each belongs to an exchange (forThisExchange) and does nothing once that is over.
+// destroyed: each belongs to an exchange (forThisExchange) and does nothing once that has ended.
 class HttpConnection::Impl : public std::enable_shared_from_this<Impl> {
   template <class Handler>
   auto forThisExchange(Handler handler) {
--- a/src/network/http_connection.h
+++ b/src/network/http_connection.h
@@ -16,7 +16,7 @@
 using boost::asio::ip::tcp;
 
 // Reports exactly how far an exchange got and never sends a request twice: what may have run must not be
-// repeated blindly. Its owner destroys it to call an exchange off. All callbacks run on the event loop, never
+// repeated blindly. Its owner destroys it to cancel an exchange. All callbacks run on the event loop, never
 // from within a call of the connection's functions.
 class HttpConnection {
  public:
--- a/src/network/listener.cpp
+++ b/src/network/listener.cpp
@@ -43,7 +43,7 @@
   return address.ss_family;
 }
 
-// The platform may have bound the socket alone.
+// The platform may have bound the socket without listening on it.
 void ensureListening(int descriptor) {
   if (socketOption(descriptor, SO_ACCEPTCONN) == 0) {
     throwIfFailed(::listen(descriptor, SOMAXCONN));
--- a/src/network/queue_age.h
+++ b/src/network/queue_age.h
@@ -1,6 +1,6 @@
-// Since when that which is taken out of a queue of the kernel may have waited there: a connection that is
-// accepted, bytes that are read. A message's time to live counts from when its client sent it, not from when
-// it was read. Plain rules, fed with what is seen of the queue, and the time.
+// Bounds how long input (a connection, bytes) may have waited in a queue of the kernel before this process
+// took it: a message's time to live counts from when its client sent it, not from when it was read. Plain
+// rules, fed with observations of the queue and the time on the monotonic clock.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace delivery {
 
-// No client waits longer for a reply: nothing that is still of use to it was sent earlier.
+// Clients wait no longer for a reply, so older input is of no use to them.
 constexpr Micros kClientReplyTimeout = 400'000;
 
 class QueueAge {
--- a/src/network/socket_address.cpp
+++ b/src/network/socket_address.cpp
@@ -1,4 +1,3 @@
-// Socket addresses; see socket_address.h.
 #include "network/socket_address.h"
 
 #include <boost/asio/ip/address.hpp>
--- a/src/process/active_role.h
+++ b/src/process/active_role.h
@@ -33,7 +33,7 @@
   struct RecoveryOptions {
     std::set<CallId>
         calls_in_flight;            // in this process or in its predecessor; their outcomes are still to come
-    bool keep_retry_after = false;  // waits that endpoints asked for still hold: true after a handover
+    bool keep_retry_after = false;  // the Retry-After of endpoints still applies: true after a handover
   };
 
   // Throws std::runtime_error or boost::system::system_error if the journal can't be opened or the clients'
@@ -46,7 +46,7 @@
   // Stops everything and writes the journal, which another process may own from then on.
   void stepDown();
 
-  // Clients are sent away: PING fails and connections are closed between requests.
+  // While draining, PING fails and connections are closed between requests.
   void setDraining(bool draining);
   // New connections of clients wait in the listening socket.
   void pauseAccepting() { clients_.pauseAccepting(); }
@@ -61,7 +61,7 @@
   bool hasEndpointList() const { return driver_.hasEndpointList(); }
   bool hasClients() const { return clients_.connectionCount() > 0; }
   bool hasUnansweredRequests() const { return clients_.unansweredRequests() > 0; }
-  // No message, request or completion notice is held.
+  // No message, request or completion notice is pending.
   bool idle() const;
 
  private:
--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -1,4 +1,3 @@
-// The decision driver; see decision_driver.h.
 #include "process/decision_driver.h"
 
 #include <algorithm>
--- a/src/process/decision_driver.h
+++ b/src/process/decision_driver.h
@@ -33,7 +33,7 @@
                  EndpointPool& endpoints, CompletionNotifier& notifier, CancelElsewhere cancel_elsewhere);
 
   // Restores what the journal and the configuration know; to be called once, before clients are served.
-  // `calls_in_flight`: calls that this process or another one still has out; onOutcome() follows for each,
+  // `calls_in_flight`: calls of this process or another one in flight; onOutcome() follows for each,
   // and the module sees those that are reported right after recover() in the same turn as the recovered
   // messages. `started_at`: when reading the journal began, for the log. `after_handover`: the process before
   // handed over in order, so the pauses (Retry-After) that its endpoints asked for still hold; a restart ends
@@ -42,7 +42,7 @@
                bool after_handover);
 
   // Decides on the events so far, writes the journal and closes it. Another driver decides from then on:
-  // events that come later are ignored.
+  // later events are ignored.
   void stepDown();
 
   // Applies discovery's answer and returns the index from which to watch on. Throws InvalidInput when the
--- a/src/process/exit_condition.cpp
+++ b/src/process/exit_condition.cpp
@@ -3,7 +3,7 @@
 namespace delivery {
 namespace {
 
-// New clients may come for up to 0.4 s after SIGTERM, until the platform has taken the address out of use.
+// New clients may connect for up to 0.4 s after SIGTERM, until the platform has taken the address out of use.
 constexpr Micros kLateClientGrace = 600'000;
 // A process that released the journal and lost its successor waits this long for the lock; if it can't have
 // it by then, a third process has it.
--- a/src/process/handover_predecessor.h
+++ b/src/process/handover_predecessor.h
@@ -23,7 +23,7 @@
   // A successor asks for the journal. False: another one is connected; this one is disconnected and asks
   // again.
   bool accept(std::shared_ptr<HandoverLink> successor);
-  // Tells the successor that the journal is free and which calls this process still ends.
+  // Notifies the successor that the journal is free, and of the calls that this process still completes.
   void sendRelease(const std::vector<CallId>& calls_in_flight);
   // A call ended while this process did not own the journal. The outcome is sent to the successor if there is
   // one, and kept: a successor that dies may not have written it down.
--- a/src/process/sender_process.cpp
+++ b/src/process/sender_process.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-// How often the state is looked at while something is awaited that has no event.
+// How often the state is polled while something is awaited that has no event.
 constexpr Micros kPollInterval = 10'000;
-// How long a successor waits for requests of which a part has come. A client waits 400 ms for its answer.
+// How long a successor waits for requests that have arrived in part. A client waits 400 ms for its answer.
 constexpr Micros kPartialRequestGrace = 200'000;
 // An owner that has not handed over by then hangs and is killed: a replacement has to serve within 6 s.
 constexpr Micros kHungOwnerTimeout = 4'000'000;
@@ -64,8 +64,8 @@
   return released_ ? OwnershipState::released : OwnershipState::waiting;
 }
 
-// Does what the state calls for now, and polls until there is nothing to await any more. While this process
-// just serves, nothing is polled.
+// Takes the steps that are due in the present state, and polls while something is awaited. A process that
+// only serves does not poll.
 void SenderProcess::advance() {
   if (finished_ || poll_scheduled_) {
     return;
@@ -259,7 +259,7 @@
 void SenderProcess::onPredecessorLost(const std::set<CallId>& lost_calls) {
   applyBudget(computeBudget(configuration_.sockets, configuration_.memory_bytes));
   if (!active_role_) {
-    advance();  // the journal tells of the lost calls
+    advance();  // recovery finds the lost calls in the journal
     return;
   }
   // They may have run. That says nothing of the endpoint, so they count as cancelled and not as failed.
@@ -280,7 +280,7 @@
   }
 }
 
-// What this process learns of an endpoint holds for the calls of its predecessor as well.
+// A drain or Retry-After also applies to calls that the predecessor has not written yet.
 void SenderProcess::onEndpointHeld(const std::string& endpoint, std::optional<std::int64_t> destination) {
   if (destination) {
     successor_role_.forwardRetryAfter(endpoint, *destination);
@@ -335,7 +335,7 @@
   }
 }
 
-// A predecessor that only ends its calls shares the descriptors with this process.
+// A predecessor that only completes its calls shares the descriptors with this process.
 DescriptorBudget SenderProcess::computeBudget(std::int64_t sockets, std::int64_t memory_bytes) const {
   return computeDescriptorBudget({sockets, memory_bytes, configuration_.settings.call_slots},
                                  successor_role_.hasPredecessor());
--- a/src/process/sender_process.h
+++ b/src/process/sender_process.h
@@ -31,7 +31,7 @@
   SenderProcess(const SenderProcess&) = delete;
   SenderProcess& operator=(const SenderProcess&) = delete;
 
-  // Graceful shutdown: finishes once nothing is held any more, after kShutdownTimeout at the latest.
+  // Graceful shutdown: finishes once nothing is pending or in flight, after kShutdownTimeout at the latest.
   void stop();
 
   // Watches and notifies another discovery service from now on. Throws std::invalid_argument if it is no
--- a/src/programs/message_sender.cpp
+++ b/src/programs/message_sender.cpp
@@ -17,7 +17,8 @@
 
 constexpr int kExitFailure = 2;
 
-// Takes over what the file says now of discovery and of limits. What can't be used leaves the rest as it was.
+// Applies the file's present discovery address, then its limits. An unusable value changes nothing, nor do
+// those after it.
 void reloadConfiguration(SenderProcess& process) {
   try {
     const ConfigurationFile file = ConfigurationFile::load();
--- a/src/protocol/delivery_response.h
+++ b/src/protocol/delivery_response.h
@@ -11,12 +11,13 @@
 // By the protocol's table of answers; an answer that is not in it is an error.
 AttemptResult attemptResultOf(const HttpResponse& answer);
 
-// The message needs no further attempt: it was delivered, or is gone.
+// The message needs no further attempt: it was delivered, or the endpoint answered that it is gone (410).
 bool isMessageFinished(const HttpResponse& answer);
 
 // From its Retry-After field; 0: none. The head suffices: it counts whatever becomes of the body.
 Micros retryAfterOf(const HttpResponse& answer);
 
+// None if the answer has no load report, or one that can't be read.
 std::optional<LoadReport> loadReportOf(const HttpResponse& answer);
 
 }  // namespace delivery
--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -1,4 +1,3 @@
-// Discovery's list of endpoints; see endpoint_list.h.
 #include "protocol/endpoint_list.h"
 
 #include <utility>
--- a/src/protocol/handover_messages.h
+++ b/src/protocol/handover_messages.h
@@ -23,7 +23,7 @@
 
 // The predecessor has written the journal and released the lock.
 struct OwnershipReleased {
-  std::vector<CallId> calls_in_flight;  // those that the predecessor ends; each gets an AttemptOutcome
+  std::vector<CallId> calls_in_flight;  // that the predecessor completes; each gets an AttemptOutcome
 };
 
 // The successor has recovered the journal and serves clients.
--- a/src/protocol/http_message.cpp
+++ b/src/protocol/http_message.cpp
@@ -1,4 +1,3 @@
-// HTTP messages; see http_message.h.
 #include "protocol/http_message.h"
 
 #include <algorithm>
--- a/src/protocol/http_message.h
+++ b/src/protocol/http_message.h
@@ -1,4 +1,4 @@
-// HTTP requests and responses as the program uses them, apart from any connection.
+// HTTP requests and responses as the program uses them, independent of any connection.
 #pragma once
 
 #include <string>
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -1,4 +1,3 @@
-// The RESP2 request parser; see resp.h.
 #include "protocol/resp.h"
 
 #include <utility>
--- a/src/protocol/simulator_wire.cpp
+++ b/src/protocol/simulator_wire.cpp
@@ -1,4 +1,3 @@
-// The simulator's wire; see simulator_wire.h.
 #include "protocol/simulator_wire.h"
 
 #include <string>
--- a/src/protocol/submit_reply.cpp
+++ b/src/protocol/submit_reply.cpp
@@ -1,4 +1,3 @@
-// The answer to a client that submits a message; see submit_reply.h.
 #include "protocol/submit_reply.h"
 
 namespace delivery {
--- a/src/storage/damage_quarantine.h
+++ b/src/storage/damage_quarantine.h
@@ -1,4 +1,4 @@
-// Keeps damaged bytes of the journal in a file of their own, for somebody to look at.
+// Keeps damaged bytes of the journal in a separate file, for later inspection.
 #pragma once
 
 #include <cstdint>
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -315,7 +315,7 @@
   return true;
 }
 
-// Half of a write does no harm: the buffer is written again, with the same sequence numbers. After a sync
+// A partial write does no harm: the buffer is written again, with the same sequence numbers. After a sync
 // that failed it is not known what is on the disk, so all is written anew into another file.
 void Journal::undoFailedAppend() {
   if (files_.truncate(file_.get(), static_cast<off_t>(file_size_)) != 0) {
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -1,6 +1,6 @@
 // The write-ahead journal of accepted messages: records are appended and flushed before what they promise is
-// done. What is no longer needed goes in a compaction, which writes a new file and renames it. It keeps what
-// happened and decides nothing. Format and promises: docs/journal.md.
+// done. Records that are no longer needed are dropped by a compaction, which writes a new file and renames
+// it. It records events and decides nothing. Format and promises: docs/journal.md.
 #pragma once
 
 #include <cstddef>
@@ -46,7 +46,7 @@
   const Recovered& recovered() const { return recovered_; }
   void releaseRecovered() { recovered_ = {}; }
 
-  // Reserves room for this message and all records of its life, also during a compaction. The reservation
+  // Reserves room for this message and all its later records, also during a compaction. The reservation
   // holds until the next flush, by when the message has to be recorded as accepted or rejected. False: there
   // is no room.
   bool reserve(const AcceptedMessage& message);
--- a/src/storage/record_codec.h
+++ b/src/storage/record_codec.h
@@ -35,7 +35,7 @@
   std::int64_t version = 0;
   bool durable = false;    // what was promised had been synced before
   Micros clock_shift = 0;  // of the PersistentClock of all times in the file
-  Micros written_at = 0;   // on the disk's clock
+  Micros written_at = 0;   // in stored form, see PersistentClock
   std::string boot;        // the kernel's boot id; empty: not known
 };
 struct AcceptedRecord {
@@ -78,7 +78,8 @@
   Reason reason_;
 };
 
-// The payload in version kJournalVersion, from the type on. `clock` changes points in time into the disk's.
+// The payload in version kJournalVersion, from the type on. `clock` converts points in time to their stored
+// form.
 std::string encodeRecord(const Record& record, const PersistentClock& clock);
 
 // The size in bytes of the payload of an AcceptedRecord.
--- a/src/storage/recovery.h
+++ b/src/storage/recovery.h
@@ -1,5 +1,5 @@
-// Reads a whole journal file: what it leaves open, what was damaged, and how its clock goes on. No file
-// calls.
+// Reads a whole journal file: what it leaves open, what was damaged, and how its clock continues. Makes no
+// file calls.
 #pragma once
 
 #include <cstddef>
--- a/src/storage/recovery_report.h
+++ b/src/storage/recovery_report.h
@@ -1,4 +1,4 @@
-// What the start of a journal has to say to its operators; it goes into the log.
+// Summary of a journal's recovery for the operators' log.
 #pragma once
 
 #include <cstddef>
@@ -19,9 +19,9 @@
   std::size_t contradictory_records = 0;  // that do not fit those before them
   std::size_t duplicate_records = 0;
   bool torn_write = false;                // the newest write was cut short
-  bool power_cut = false;                 // the machine was started anew, and writes were not synced
+  bool power_cut = false;                 // the machine rebooted, and writes were not synced
   bool quarantined = false;               // the damaged bytes were kept in journal.damaged
-  std::uint64_t unquarantined_bytes = 0;  // but for so many
+  std::uint64_t unquarantined_bytes = 0;  // of them, the bytes that were not kept
 
   struct Field {
     std::string_view name;
