--- a/src/decision/admission_control.h
+++ b/src/decision/admission_control.h
@@ -65,8 +65,8 @@
     std::set<ShedCandidate> candidates;
     for (const auto& [id, destination] : queue.backlog) {
       const Micros drained_at = turn.now + std::max(limiter.drainTime(*destination), wait);
-      for (Message* message : destination->held) {
-        if (!RetryPolicy::mayReject(*message) || message->isOwedAttempt()) continue;
+      for (Message* message : destination->queued) {
+        if (!RetryPolicy::mayReject(*message) || message->isRecoveredUntried()) continue;
         const double cost = isPromised(*message) ? kBrokenPromiseCost * message->rules->priority_weight : 0;
         const double value = valueAt(*message, drained_at) + cost + 1e-3 * valueAt(*message, turn.now);
         candidates.insert({value, message});
@@ -86,7 +86,7 @@
     std::vector<Message*> selected;
     double wait = 0;  // for a slot, of the messages that lack nothing else
     for (const auto& [id, destination] : queue.backlog)
-      if (destination->blocked_at != turn.now) wait += wait_each * destination->held.size();
+      if (destination->blocked_at != turn.now) wait += wait_each * destination->queued.size();
     if (open_messages <= most && wait <= longest_wait) return selected;
     for (const auto& [value, message] : candidates(static_cast<Micros>(wait))) {
       const bool waits = wait > longest_wait && message->destination->blocked_at != turn.now;
--- a/src/decision/fair_queue.h
+++ b/src/decision/fair_queue.h
@@ -8,9 +8,9 @@
 constexpr double kIdleCredits = 2;  // sigma in RePAIR, section 3.3
 
 struct QueuePosition {  // of a destination; the smallest is served first
-  bool owes_no_attempt, in_global_phase;
+  bool has_no_untried, in_global_phase;
   double tag;
-  auto key() const { return std::tie(owes_no_attempt, in_global_phase, tag); }
+  auto key() const { return std::tie(has_no_untried, in_global_phase, tag); }
   bool operator<(const QueuePosition& other) const { return key() < other.key(); }
 };
 
@@ -40,12 +40,12 @@
     Destination& destination = *message.destination;
     Tag& last = destination.last_tag;
     adjustGlobalTags();
-    message.held = true;
+    message.queued = true;
     message.not_before = not_before;
-    destination.held.push_back(&message);
+    destination.queued.push_back(&message);
     double& period = destination.reservation_period = 1e300;
-    for (const Message* held : destination.held)
-      period = std::min<double>(period, held->rules->latency_objective);
+    for (const Message* queued : destination.queued)
+      period = std::min<double>(period, queued->rules->latency_objective);
     const double now = turn.now, step = globalStep(destination);
     // No idle credit after an outage: with its backlog it would overload the destination again.
     const bool known = last.global > -1e17 && !detector.isWarmingUp(destination.shared.health);
@@ -57,9 +57,9 @@
 
   void erase(Message& message) {
     Destination& destination = *message.destination;
-    destination.held.erase(std::find(destination.held.begin(), destination.held.end(), &message));
-    message.held = false;
-    if (destination.held.empty()) backlog.erase(destination.id);
+    destination.queued.erase(std::find(destination.queued.begin(), destination.queued.end(), &message));
+    message.queued = false;
+    if (destination.queued.empty()) backlog.erase(destination.id);
   }
 
   // Removes a message to send, with the first tag. A start in the global phase leaves the reservation
@@ -85,13 +85,13 @@
   // Destinations in the order in which they may use a free slot.
   std::multimap<QueuePosition, Destination*> candidates() const {
     std::multimap<QueuePosition, Destination*> order;
-    const auto is_owed = [](const Message* each) { return each->isOwedAttempt(); };
+    const auto untried = [](const Message* each) { return each->isRecoveredUntried(); };
     for (const auto& [id, destination] : backlog) {
       const Tag& first = destination->tags.front();
       const bool due = first.local <= turn.now;
-      const bool owes = std::any_of(destination->held.begin(), destination->held.end(), is_owed);
+      const bool has_untried = std::any_of(destination->queued.begin(), destination->queued.end(), untried);
       if (destination->blocked_at != turn.now)
-        order.insert({{!owes, !due, due ? first.local : first.global}, destination});
+        order.insert({{!has_untried, !due, due ? first.local : first.global}, destination});
     }
     return order;
   }
--- a/src/decision/rate_limiter.h
+++ b/src/decision/rate_limiter.h
@@ -72,8 +72,8 @@
   Micros opensAt(Endpoint& endpoint, const Message* message) const {
     const Destination& destination = *endpoint.destination;
     const double limit = endpoint.scope().rate.limit;
-    const double held_rate = destination.held.size() / turn.warm_up_seconds;
-    const double own_rate = std::max(turn.perSecond(destination.traffic), held_rate);
+    const double queued_rate = destination.queued.size() / turn.warm_up_seconds;
+    const double own_rate = std::max(turn.perSecond(destination.traffic), queued_rate);
     const bool rare = own_rate < (limit > 0 ? kRareShare * limit : 2 / turn.warm_up_seconds);
     Micros must_leave_by = kNever;
     if (message && message->attempts.empty() && turn.isOneOfMany() && rare)
@@ -90,7 +90,7 @@
       const double allowed = allowedRate(scope, scope.rate.limit, ownRate(*endpoint));
       rate = endpoint->hasOwnRoute() ? rate + allowed : allowed;
     }
-    const double wait = destination.held.size() * kMicrosPerSecond / std::max(rate, 1e-6);
+    const double wait = destination.queued.size() * kMicrosPerSecond / std::max(rate, 1e-6);
     return static_cast<Micros>(std::clamp<double>(wait, turn.settings.tick, 1e12));
   }
 
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -141,13 +141,13 @@
     Message* best = nullptr;
     double best_loss = -1;
     const Micros drained_at = turn.now + limiter.drainTime(destination);
-    for (Message* message : destination.held) {
+    for (Message* message : destination.queued) {
       turn.wakeAt(message->not_before);
       if (!isDue(*message)) continue;
       const double value = admission.valueAt(*message, turn.now);
       const double loss = value - admission.valueAt(*message, drained_at) + 1e-3 * value;
-      const bool best_is_owed = best && best->isOwedAttempt();
-      if (message->isOwedAttempt() == best_is_owed ? loss <= best_loss : best_is_owed) continue;
+      const bool best_is_untried = best && best->isRecoveredUntried();
+      if (message->isRecoveredUntried() == best_is_untried ? loss <= best_loss : best_is_untried) continue;
       if (!chooseEndpoint(*message)) continue;
       best_loss = loss;
       best = message;
@@ -175,7 +175,7 @@
   void fillCall(const Destination& destination, Endpoint& endpoint) {
     while (endpoint.forming_room > 0) {
       Message* oldest = nullptr;
-      for (Message* message : destination.held)
+      for (Message* message : destination.queued)
         if (isDue(*message) && accepts(endpoint, *message) && (!oldest || message->order < oldest->order))
           oldest = message;
       if (!oldest) return;
@@ -208,7 +208,7 @@
 
   void close(Message& message) {  // without an answer
     if (message.ended) return;
-    if (message.held) queue.withdraw(message);
+    if (message.queued) queue.withdraw(message);
     message.ended = true;
     --open_messages;
     expiries.erase({message.expires_at, message.id});
@@ -217,9 +217,9 @@
   void forget(const Message& message) {
     if (!message.ended || message.attempts_in_flight > 0) return;
     if (!message.order_key.empty()) {
-      auto& [line, paused_until] = order_queues[message.order_key];
-      line.erase(std::find(line.begin(), line.end(), &message));
-      if (line.empty() && turn.now >= paused_until) order_queues.erase(message.order_key);
+      auto& [waiting, paused_until] = order_queues[message.order_key];
+      waiting.erase(std::find(waiting.begin(), waiting.end(), &message));
+      if (waiting.empty() && turn.now >= paused_until) order_queues.erase(message.order_key);
     }
     messages.erase(messages.find(message.id));
   }
@@ -323,11 +323,11 @@
       paused_until = std::max(paused_until, turn.now + turn.settings.ordering_pause);
       turn.next_wake = std::min(turn.next_wake, paused_until);
     }
-    std::vector<Message*>& held = endpoint.destination->held;
-    for (std::size_t i = outcome.retry_after > 0 ? held.size() : 0; i-- > 0;)
-      if (!policy.hasAttemptLeft(*held[i])) giveUp(*held[i], true);
+    std::vector<Message*>& queued = endpoint.destination->queued;
+    for (std::size_t i = outcome.retry_after > 0 ? queued.size() : 0; i-- > 0;)
+      if (!policy.hasAttemptLeft(*queued[i])) giveUp(*queued[i], true);
     if (outcome.finished || result == AttemptResult::ok) close(*message);
-    const bool waits = message->held || message->attempts_in_flight > 0;
+    const bool waits = message->queued || message->attempts_in_flight > 0;
     const bool expired = turn.now >= message->expires_at;
     if (message->ended)
       forget(*message);
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -97,8 +97,8 @@
 struct Destination {
   std::int64_t id = 0;
   std::vector<Endpoint*> endpoints;
-  std::vector<Message*> held;  // queued here: neither in flight nor ended
-  std::deque<Tag> tags;        // one for each queued message; the next message to send takes the first
+  std::vector<Message*> queued;  // neither in flight nor ended
+  std::deque<Tag> tags;          // one for each queued message; the next message to send takes the first
   Tag last_tag{-1e18, -1e18};
   double reservation_period = 1;  // 1/M, in microseconds
   DecayedRate traffic;            // own messages
@@ -131,13 +131,13 @@
   Micros arrived_at = 0, submitted_at = 0, expires_at = 0, not_before = 0, latency_objective = 0;
   std::uint64_t order = 0;
   std::vector<Attempt> attempts;
-  bool held = false, ended = false, recovered = false;  // held: queued; recovered: after a restart
+  bool queued = false, ended = false, recovered = false;  // recovered: accepted before a restart
   int attempts_in_flight = 0;
 
   bool mayHaveRun() const {
     return std::any_of(attempts.begin(), attempts.end(), [](auto& each) { return each.may_have_run; });
   }
-  bool isOwedAttempt() const { return recovered && attempts.empty(); }  // sent before all others
+  bool isRecoveredUntried() const { return recovered && attempts.empty(); }  // sent first
 };
 
 struct AttemptRef {
--- a/src/process/sender_process.cpp
+++ b/src/process/sender_process.cpp
@@ -40,7 +40,7 @@
           io, {configuration_.settings.connect_timeout, configuration_.settings.connection_idle_timeout},
           connections_.endpoints, [this](AttemptOutcome outcome) { onOutcome(std::move(outcome)); },
           [this](const std::string& endpoint, std::optional<std::int64_t> destination) {
-            onEndpointHeld(endpoint, destination);
+            onCallsWithdrawn(endpoint, destination);
           }),
       predecessor_role_(endpoints_, [this] { onSuccessorLost(); }),
       poll_timer_(io) {
@@ -281,7 +281,7 @@
 }
 
 // A drain or Retry-After also applies to calls that the predecessor has not written yet.
-void SenderProcess::onEndpointHeld(const std::string& endpoint, std::optional<std::int64_t> destination) {
+void SenderProcess::onCallsWithdrawn(const std::string& endpoint, std::optional<std::int64_t> destination) {
   if (destination) {
     successor_role_.forwardRetryAfter(endpoint, *destination);
   } else {
--- a/src/process/sender_process.h
+++ b/src/process/sender_process.h
@@ -69,7 +69,7 @@
 
   // The calls of this process
   void onOutcome(AttemptOutcome outcome);
-  void onEndpointHeld(const std::string& endpoint, std::optional<std::int64_t> destination);
+  void onCallsWithdrawn(const std::string& endpoint, std::optional<std::int64_t> destination);
 
   // Operators
   Readiness readiness() const;
