--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -68,7 +68,7 @@
     }
   }
 
-  // Its turn has come: what was buffered is parsed once more.
+  // The queued request may run now: its buffered bytes are parsed again, as no parsed form is kept.
   void processQueuedRequest() {
     const RespParseResult parsed = parseRespRequest(input_);
     if (const auto* request = std::get_if<RespRequest>(&parsed)) {
@@ -222,8 +222,8 @@
   std::string output_;
   std::size_t discarded_bytes_ = 0;
   QueueAge input_age_;             // of the unread input in the socket
-  Micros last_bytes_sent_at_ = 0;  // at the earliest, as the next
-  Micros request_sent_at_ = 0;     // the first bytes of the request that is buffered
+  Micros last_bytes_sent_at_ = 0;  // earliest time at which the latest bytes can have been sent
+  Micros request_sent_at_ = 0;     // the same for the first bytes of the buffered request
   bool is_open_ = true;
   bool is_discarding_ = false;  // after a malformed request
 };
--- a/src/process/sender_process.cpp
+++ b/src/process/sender_process.cpp
@@ -131,6 +131,8 @@
   return mayExit(conditions);
 }
 
+// Locks the journal once its owner has released it or has ended. An owner that listens is asked to hand over,
+// one that hangs is killed.
 void SenderProcess::awaitOwnership() {
   const bool owner_hangs = !released_ && monotonicNow() - waiting_since_ > kHungOwnerTimeout;
   const bool may_acquire =
@@ -151,7 +153,7 @@
   }
 }
 
-// What the owner has accepted is in the journal.
+// No accepted message is lost by this: they are in the journal.
 void SenderProcess::killHungOwner() {
   const pid_t owner = lock_.holder();
   if (owner <= 0) {
@@ -237,6 +239,7 @@
   waiting_since_ = released_at_;
 }
 
+// This process goes on serving if it still owns the journal, else it tries to lock it again.
 void SenderProcess::onSuccessorLost() {
   waiting_since_ = monotonicNow();
   if (active_role_) {
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -112,7 +112,7 @@
   quarantineDamage(content.data, journal.scan.damaged_ranges);
   truncateTornWrite(journal.scan);
   if (!canAppendTo(journal) && !compact()) {
-    appendRecoveredDoubts();
+    appendUnknownAttempts();
   }
   // The process before may have been killed between a write or a rename and its sync.
   if (options_.durable && (files_.sync(file_.get()) != 0 || files_.syncFolder(folder_) != 0)) {
@@ -156,9 +156,9 @@
          journal.scan.duplicate_records == 0;
 }
 
-// Without room for a compaction, the attempts that recovery assumed go behind the damaged records: the next
-// start would not know of them.
-void Journal::appendRecoveredDoubts() {
+// When there is no room for a compaction: appends the attempts that recovery assumed, which the next start
+// would not know of.
+void Journal::appendUnknownAttempts() {
   append(header_);
   std::vector<AttemptRecord> unknown_attempts;
   for (const auto& [message_id, entry] : state_.entries()) {
@@ -369,7 +369,7 @@
   if (!compacted.isOpen()) {
     return failed(FileOperation::open, compaction_path_);
   }
-  if (!moveIntoPlace(compacted, content)) {
+  if (!writeAndRename(compacted, content)) {
     compacted.reset();
     files_.unlink(compaction_path_);
     return false;
@@ -378,7 +378,7 @@
   return true;
 }
 
-bool Journal::moveIntoPlace(const FileDescriptor& compacted, const std::string& content) {
+bool Journal::writeAndRename(const FileDescriptor& compacted, const std::string& content) {
   if (!writeAll(files_, compacted, content)) {
     return failed(FileOperation::write, compaction_path_);
   }
@@ -391,7 +391,7 @@
   return true;
 }
 
-// Keeps errno of the call before as the reason of a flush that fails. Always false.
+// Keeps errno of the failed call for flushError(). Always returns false.
 bool Journal::failed(FileOperation operation, const std::string& path) {
   flush_error_.emplace(operation, path, errno);
   return false;
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -76,7 +76,7 @@
   void quarantineDamage(const std::string& data, const std::vector<ByteRange>& damaged_ranges);
   void truncateTornWrite(const ScanResult& scan);
   bool canAppendTo(const RecoveredJournal& journal) const;
-  void appendRecoveredDoubts();
+  void appendUnknownAttempts();
   void publishRecovered();
 
   bool append(const Record& record);
@@ -89,7 +89,7 @@
   bool compact();
   RecordBuffer compactedRecords() const;
   bool replaceFile(const std::string& content);
-  bool moveIntoPlace(const FileDescriptor& compacted, const std::string& content);
+  bool writeAndRename(const FileDescriptor& compacted, const std::string& content);
   bool failed(FileOperation operation, const std::string& path);
 
   FileSystem& files_;
--- a/src/storage/recovery.cpp
+++ b/src/storage/recovery.cpp
@@ -96,7 +96,7 @@
 
   const ClockReadings& now_;
   RecoveredJournal journal_;
-  Micros newest_time_on_disk_ = 0;  // on the disk's clock
+  Micros newest_time_on_disk_ = 0;  // in stored form, see PersistentClock
   std::uint64_t last_sequence_number_ = 0;
 };
 
