--- a/src/common/deadline.h
+++ b/src/common/deadline.h
@@ -10,6 +10,8 @@
 // their name says otherwise.
 using Micros = std::int64_t;
 
+constexpr Micros kMicrosPerMillisecond = 1000;
+
 // The point on the monotonic clock at which a message expires. A type of its own, so that it can't be
 // confused with a span or with a time of another clock. No operation prolongs it.
 class Deadline {
--- a/src/network/client_admission.cpp
+++ b/src/network/client_admission.cpp
@@ -9,17 +9,18 @@
 
 namespace {
 
-constexpr Micros kMicrosPerMs = 1000;
 // The platform wants a peer that sends no proper request answered or closed within 3 s of connecting, and
 // lets a connection without an open request be closed after 2 s.
-constexpr Micros kRequestTimeout = 2000 * kMicrosPerMs;        // until the first bytes of a request
-constexpr Micros kRestOfRequestTimeout = 1000 * kMicrosPerMs;  // from its first bytes to its last
-constexpr Micros kTakeReplyTimeout = 1000 * kMicrosPerMs;
+constexpr Micros kRequestTimeout = 2000 * kMicrosPerMillisecond;        // until the first bytes of a request
+constexpr Micros kRestOfRequestTimeout = 1000 * kMicrosPerMillisecond;  // from its first bytes to its last
+constexpr Micros kTakeReplyTimeout = 1000 * kMicrosPerMillisecond;
 // A machine that vanished leaves its connections open and silent; live clients reconnect at no cost.
-constexpr Micros kIdleClientTimeout = 60'000 * kMicrosPerMs;
-constexpr Micros kDrainTimeout = 1000 * kMicrosPerMs;       // no connection outlasts the first 4 s of a drain
-constexpr Micros kGraceForUnreadInput = 20 * kMicrosPerMs;  // it is read in the next turn of the event loop
-constexpr Micros kFirstRequestInTransit = 100 * kMicrosPerMs;  // after connecting
+constexpr Micros kIdleClientTimeout = 60'000 * kMicrosPerMillisecond;
+constexpr Micros kDrainTimeout =
+    1000 * kMicrosPerMillisecond;  // no connection outlasts the first 4 s of a drain
+constexpr Micros kGraceForUnreadInput =
+    20 * kMicrosPerMillisecond;  // it is read in the next turn of the event loop
+constexpr Micros kFirstRequestInTransit = 100 * kMicrosPerMillisecond;  // after connecting
 
 bool isReadFrom(const ClientConnection& connection) {
   return connection.state == ClientState::awaiting_first_request ||
--- a/src/network/client_eviction.cpp
+++ b/src/network/client_eviction.cpp
@@ -8,12 +8,11 @@
 
 namespace {
 
-constexpr Micros kMicrosPerMs = 1000;
 // How long a connection of each kind must have been silent.
-constexpr Micros kUnproductiveSilence = 20 * kMicrosPerMs;
-constexpr Micros kPartialRequestSilence = 500 * kMicrosPerMs;
-constexpr Micros kDiscardingSilence = 500 * kMicrosPerMs;
-constexpr Micros kIdleClientSilence = 2000 * kMicrosPerMs;
+constexpr Micros kUnproductiveSilence = 20 * kMicrosPerMillisecond;
+constexpr Micros kPartialRequestSilence = 500 * kMicrosPerMillisecond;
+constexpr Micros kDiscardingSilence = 500 * kMicrosPerMillisecond;
+constexpr Micros kIdleClientSilence = 2000 * kMicrosPerMillisecond;
 // While another peer holds more connections: that peer's will soon have been idle for long enough.
 constexpr Micros kIdleClientWithFewerSilence = 2 * kIdleClientSilence;
 
--- a/src/network/endpoint_pool.h
+++ b/src/network/endpoint_pool.h
@@ -15,7 +15,7 @@
 
 #include "common/call_id.h"
 #include "common/clocks.h"
-#include "decision/scheduler.h"
+#include "common/events.h"
 #include "network/endpoint_connection_accounting.h"
 #include "network/http_connection.h"
 #include "storage/accepted_message.h"
--- a/src/network/endpoint_watch.cpp
+++ b/src/network/endpoint_watch.cpp
@@ -10,7 +10,6 @@
 
 namespace {
 
-constexpr Micros kMicrosPerMs = 1000;
 constexpr Micros kWatchHold = 20'000'000;       // how long discovery may hold a request open
 constexpr Micros kResponseTimeout = 1'500'000;  // on top of that, for the response itself
 // The longest backoff, jitter included, stays below 6 s: by then the platform expects each sender to know
@@ -52,8 +51,8 @@
   request.method = "GET";
   request.target = "/v1/endpoints";
   if (watches) {
-    request.target +=
-        "?from=" + std::to_string(known_index_) + "&hold_ms=" + std::to_string(kWatchHold / kMicrosPerMs);
+    request.target += "?from=" + std::to_string(known_index_) +
+                      "&hold_ms=" + std::to_string(kWatchHold / kMicrosPerMillisecond);
   }
   const Micros timeout = (watches ? kWatchHold : 0) + kResponseTimeout;
   client_.send(std::move(request), timeout, [this](const HttpResponse& response) { onResponse(response); });
--- a/src/network/http_connection.cpp
+++ b/src/network/http_connection.cpp
@@ -24,7 +24,6 @@
 constexpr std::size_t kMaxHeadBytes = 16384;
 constexpr int kMaxInformationalHeads = 16;  // skipped in one exchange
 constexpr Micros kCancelRetryInterval = 1000;
-constexpr Micros kMicrosPerMs = 1000;
 constexpr int kHttpVersion = 11;
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusSwitchingProtocols = 101;
@@ -189,7 +188,7 @@
       return;
     }
     if (!remaining_time_field_.empty()) {
-      request_.set(remaining_time_field_, std::to_string(remaining / kMicrosPerMs));
+      request_.set(remaining_time_field_, std::to_string(remaining / kMicrosPerMillisecond));
     }
     request_bytes_ = serialize(request_);
     bytes_written_ = 0;
--- a/src/network/pressure_report.cpp
+++ b/src/network/pressure_report.cpp
@@ -8,8 +8,7 @@
 
 namespace {
 
-constexpr Micros kMicrosPerMs = 1000;
-constexpr Micros kEndsAfter = 1000 * kMicrosPerMs;  // without an eviction
+constexpr Micros kEndsAfter = 1000 * kMicrosPerMillisecond;  // without an eviction
 
 void logEvent(const PressureStarted& started) {
   logWarning("connections", "eviction_started")
@@ -20,7 +19,7 @@
 
 void logEvent(const PressureEnded& ended) {
   logInfo("connections", "eviction_ended")
-      .field("duration_ms", ended.duration / kMicrosPerMs)
+      .field("duration_ms", ended.duration / kMicrosPerMillisecond)
       .field("evicted", ended.evictions)
       .field("top_peer", ended.top_peer)
       .field("top_peer_evicted", ended.top_peer_evictions);
--- a/src/process/configuration.h
+++ b/src/process/configuration.h
@@ -5,6 +5,7 @@
 #include <optional>
 #include <string>
 
+#include "common/settings.h"
 #include "protocol/json_fields.h"
 
 namespace delivery {
--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -277,16 +277,6 @@
 
 // ---- Turns
 
-void DecisionDriver::addEvent(Event event) {
-  if (stepped_down_) {
-    return;
-  }
-  events_.push_back(std::move(event));
-  if (!turn_scheduled_) {
-    scheduleTurn();
-  }
-}
-
 // At once, or when the shortest gap between two turns (Settings::tick) has passed.
 void DecisionDriver::scheduleTurn() {
   turn_scheduled_ = true;
--- a/src/process/decision_driver.h
+++ b/src/process/decision_driver.h
@@ -10,9 +10,12 @@
 #include <optional>
 #include <set>
 #include <string>
+#include <utility>
+#include <variant>
 #include <vector>
 
 #include "common/call_id.h"
+#include "decision/scheduler.h"
 #include "network/client_server.h"
 #include "network/completion_notifier.h"
 #include "network/endpoint_pool.h"
@@ -83,7 +86,17 @@
   std::optional<SubmitReply> replyWithoutDecision(const AcceptedMessage& message) const;
   void recordOutcome(const AttemptOutcome& outcome);
 
-  void addEvent(Event event);
+  // Constructs the event in place: GCC 12 takes a moved temporary variant for one that is uninitialized.
+  template <class EventType>
+  void addEvent(EventType event) {
+    if (stepped_down_) {
+      return;
+    }
+    events_.emplace_back(std::in_place_type<EventType>, std::move(event));
+    if (!turn_scheduled_) {
+      scheduleTurn();
+    }
+  }
   void scheduleTurn();
   void runTurn();
 
--- a/src/programs/journal_inspect.cpp
+++ b/src/programs/journal_inspect.cpp
@@ -47,10 +47,9 @@
 }
 
 void printOpenMessage(const JournalEntry& entry, std::size_t may_have_run, delivery::Micros now) {
-  constexpr delivery::Micros kMicrosPerMillisecond = 1000;
   std::cout << "open " << entry.message.id << ": destination " << entry.message.destination << ", "
             << entry.attempts.size() << " attempts, of which " << may_have_run << " may have run, "
-            << entry.message.deadline.remaining(now) / kMicrosPerMillisecond << " ms left\n";
+            << entry.message.deadline.remaining(now) / delivery::kMicrosPerMillisecond << " ms left\n";
 }
 
 struct EntryCounts {
--- a/src/programs/simulator_adapter.cpp
+++ b/src/programs/simulator_adapter.cpp
@@ -13,6 +13,7 @@
 #include <utility>
 #include <vector>
 
+#include "decision/scheduler.h"
 #include "protocol/simulator_wire.h"
 
 namespace delivery {
--- a/src/protocol/delivery_response.h
+++ b/src/protocol/delivery_response.h
@@ -3,7 +3,7 @@
 
 #include <optional>
 
-#include "decision/scheduler.h"
+#include "common/events.h"
 #include "protocol/http_message.h"
 
 namespace delivery {
--- a/src/protocol/endpoint_list.h
+++ b/src/protocol/endpoint_list.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "decision/scheduler.h"
+#include "common/events.h"
 #include "protocol/json_fields.h"
 
 namespace delivery {
--- a/src/protocol/handover_messages.h
+++ b/src/protocol/handover_messages.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "common/call_id.h"
-#include "decision/scheduler.h"
+#include "common/events.h"
 
 namespace delivery {
 
--- a/src/protocol/json_fields.h
+++ b/src/protocol/json_fields.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <utility>
 
-#include "decision/scheduler.h"
+#include "common/deadline.h"
 
 namespace delivery {
 
@@ -127,14 +127,12 @@
   return isAbsent(object, name) ? empty_object : readObject(object, name);
 }
 
-constexpr double kMicrosPerMillisecond = 1000.0;
-
 inline Micros microsFromMilliseconds(double milliseconds) {
-  return static_cast<Micros>(std::llround(milliseconds * kMicrosPerMillisecond));
+  return static_cast<Micros>(std::llround(milliseconds * static_cast<double>(kMicrosPerMillisecond)));
 }
 
 inline double millisecondsFromMicros(Micros micros) {
-  return static_cast<double>(micros) / kMicrosPerMillisecond;
+  return static_cast<double>(micros) / static_cast<double>(kMicrosPerMillisecond);
 }
 
 // A time span or a point in time that the input gives in milliseconds, with fractions, as microseconds.
--- a/src/protocol/message_request.cpp
+++ b/src/protocol/message_request.cpp
@@ -8,7 +8,6 @@
 
 namespace {
 
-constexpr std::int64_t kMicrosPerMs = 1000;
 constexpr std::int64_t kMaxTimeToLiveMs = 24LL * 3600 * 1000;
 constexpr std::size_t kMaxDigits = 18;  // fits 64 bits
 constexpr char kDelete = 127;
@@ -88,7 +87,7 @@
     if (!milliseconds || *milliseconds == 0 || *milliseconds > kMaxTimeToLiveMs) {
       return RequestError::malformed_time_to_live;
     }
-    message_.time_to_live = *milliseconds * kMicrosPerMs;
+    message_.time_to_live = *milliseconds * kMicrosPerMillisecond;
     has_time_to_live_ = true;
     return std::nullopt;
   }
--- a/src/protocol/settings_reader.h
+++ b/src/protocol/settings_reader.h
@@ -1,6 +1,7 @@
 // Reads the settings that the sender and the simulator's adapter are both given, from their JSON form.
 #pragma once
 
+#include "common/settings.h"
 #include "protocol/json_fields.h"
 
 namespace delivery {
--- a/src/protocol/simulator_wire.h
+++ b/src/protocol/simulator_wire.h
@@ -8,7 +8,9 @@
 #include <optional>
 #include <vector>
 
-#include "decision/scheduler.h"
+#include "common/actions.h"
+#include "common/events.h"
+#include "common/settings.h"
 #include "protocol/json_fields.h"
 
 namespace delivery {
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "common/clocks.h"
-#include "decision/scheduler.h"
+#include "common/events.h"
 #include "storage/accepted_message.h"
 #include "storage/disk_budget.h"
 #include "storage/file_system.h"
--- a/src/storage/journal_state.h
+++ b/src/storage/journal_state.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "decision/scheduler.h"
+#include "common/events.h"
 #include "storage/accepted_message.h"
 #include "storage/record_codec.h"
 
--- a/src/storage/record_codec.h
+++ b/src/storage/record_codec.h
@@ -10,7 +10,7 @@
 #include <variant>
 
 #include "common/clocks.h"
-#include "decision/scheduler.h"
+#include "common/events.h"
 #include "storage/accepted_message.h"
 
 namespace delivery {
