--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -1,4 +1,4 @@
-// 5 admission: what is refused, and messages with little or no time.
+// Admission control: which messages are rejected, and messages with little or no time.
 #include <algorithm>
 
 #include "support/scheduler_fixture.h"
@@ -43,7 +43,8 @@
   }
 }
 
-// A told wait that outlasts a message: its client hears so at once, and when it is over; others are held.
+// A Retry-After that outlasts a message: its client is told at once, with the time to retry; others are
+// queued.
 TEST(Admission, MessageThatExpiresBeforeRetryAfterIsAnsweredAtOnce) {
   Settings settings = makeSettings();
   settings.call_slots = 1;
@@ -62,7 +63,7 @@
   EXPECT_EQ(driver.got<Reject>()[0].id, "brief");
   EXPECT_GE(driver.got<Reject>()[0].retry_after, 8 * kSecond);
   EXPECT_TRUE(driver.got<Fail>().empty());
-  brief.id = "behind";  // one that comes meanwhile, too
+  brief.id = "behind";  // one that arrives meanwhile, too
   driver.run({brief});
   ASSERT_EQ(driver.got<Reject>().size(), 1u);
   EXPECT_EQ(driver.got<Reject>()[0].id, "behind");
@@ -79,7 +80,7 @@
   EXPECT_TRUE(driver.actions.empty() || driver.got<SendAttempt>().empty());
   AttemptOutcome late = driver.outcome("a", 0, AttemptResult::timeout);
   late.finished = true;
-  // After a stall all comes in one heap, also twice and for what is long ended.
+  // After a stall all events arrive at once, some twice and some for messages that ended long ago.
   EXPECT_EQ(driver.at(3 * kSecond)
                 .run({late, late, Abandoned{"a"}, TimerFired{}, TimerFired{},
                       driver.outcome("b", 0, AttemptResult::ok)}),
@@ -87,8 +88,9 @@
   EXPECT_EQ(driver.got<Fail>().size() + driver.got<Reject>().size(), 0u);
 }
 
-// debrecen-kelet-later big-2: busy senders held four seconds of messages for their few slots, and each was
-// late. Of many senders one refuses what would come late while its slots are busy; of two it holds them.
+// debrecen-kelet-later big-2: busy senders queued four seconds of messages for their few slots, and each was
+// late. One of many senders rejects messages that would be late while its slots are busy; one of two queues
+// them.
 TEST(Admission, WithAllSlotsUsedLateMessagesAreRejectedDownToAShortQueue) {
   auto refused = [](int senders, bool busy) {
     Settings settings = makeSettings();
@@ -116,14 +118,14 @@
     driver.run(heap);
     return driver.got<Reject>().size();
   };
-  EXPECT_GE(refused(200, true), 20u);  // 36 waiting messages would take 4.5 s, the aim is 2 s
+  EXPECT_GE(refused(200, true), 20u);  // 36 queued messages would take 4.5 s, the latency objective is 2 s
   EXPECT_LE(refused(200, true), 34u);
   EXPECT_EQ(refused(200, false), 0u);
   EXPECT_EQ(refused(2, true), 0u);
 }
 
-// A table that is full of what was taken on: a message that comes now is refused before one of as much worth
-// that its client was promised, however much less that one would lose; one of far more worth takes its place.
+// A table that is full of accepted messages: a new message is rejected before an accepted one of the same
+// priority weight, however much less that one would lose; one of a far higher weight takes its place.
 TEST(Admission, AcceptedMessagesAreKeptBeforeNewArrivals) {
   Settings settings = makeSettings();
   settings.call_slots = 1;
@@ -134,7 +136,7 @@
   for (int i = 0; i < 9; ++i) {
     driver.at(driver.now + 400 * kMillisecond).arrive("taken" + std::to_string(i), "safe", 1);
   }
-  ASSERT_EQ(driver.got<Reject>().size(), 0u);  // one of them is out, and all wait for it
+  ASSERT_EQ(driver.got<Reject>().size(), 0u);  // one of them is in flight, and all others wait for it
   for (int i = 0; i < 4; ++i) {
     const std::string id = "new" + std::to_string(i);
     driver.arrive(id, "safe", 1);
@@ -146,8 +148,8 @@
   EXPECT_EQ(driver.got<Reject>()[0].id.substr(0, 5), "taken");
 }
 
-// Of many senders one with all slots busy refuses at the door what would come late, and keeps what it has
-// taken on until most of its time is over.
+// One of many senders with all slots busy rejects new messages that would be late, and keeps accepted ones
+// until most of their time has passed.
 TEST(Admission, WithAllSlotsUsedAcceptedMessagesAreKeptForMostOfTheirTime) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
--- a/tests/decision/attempts_test.cpp
+++ b/tests/decision/attempts_test.cpp
@@ -1,4 +1,4 @@
-// 4 attempts: effects, endpoints, connections, further tries.
+// Attempts: idempotency, choice of endpoints, connections, retries.
 #include <algorithm>
 #include <set>
 
@@ -33,7 +33,7 @@
   Settings settings = makeSettings();
   settings.call_slots = 1;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1, "batch")});  // three messages a call
+  driver.list({makeEndpoint("e1", 1, "batch")});  // three messages per call
   std::vector<Event> all;
   all.reserve(4);
   for (int i = 0; i < 4; ++i) {
@@ -78,11 +78,12 @@
     }
     return n;
   };
-  EXPECT_EQ(closed(200, 30 * kSecond), 20u);  // it comes too rarely
+  EXPECT_EQ(closed(200, 30 * kSecond), 20u);  // it is called too rarely
   EXPECT_EQ(closed(200, kSecond), 0u);        // busy: it will be used
 }
 
-// rough-2 of budapest-kozpont-later: further tries of many took the place of first ones still in time.
+// rough-2 of budapest-kozpont-later: retries of many messages displaced first attempts that were still in
+// time.
 TEST(Attempts, OneOfManySendersRetriesALatencyObjectiveLaterAtLeast) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
@@ -98,8 +99,9 @@
   EXPECT_GE(driver.now, 100 * kMillisecond + settings.classes[0].latency_objective);
 }
 
-// overload of budapest-kozpont-later: endpoints take few connections, and the idle ones of many senders
-// filled their tables; to all others that looked like an outage. Where a connect failed none is kept.
+// overload of budapest-kozpont-later: endpoints accept few connections, and the idle ones of many senders
+// filled their tables; to all others that looked like an outage. Where a connect failed, no idle connection
+// is kept.
 TEST(Attempts, OneOfManySendersKeepsNoConnectionWhereAConnectFailed) {
   auto kept_after_a_failure = [](int senders) {
     Settings settings = makeSettings();
@@ -128,12 +130,12 @@
     return driver.got<CloseIdleConnections>().empty();
   };
   EXPECT_FALSE(kept_after_a_failure(200));
-  EXPECT_TRUE(kept_after_a_failure(2));  // so few can't fill a table: the endpoint was away
+  EXPECT_TRUE(kept_after_a_failure(2));  // so few can't fill a table: the endpoint was down
 }
 
-// fresh-big 2598684461 of budapest-kozpont-later: what failed in an outage came again one aim later at all
-// senders, as one, and pushed over the destination that was just coming back. Among many such further tries
-// are spread.
+// fresh-big 2598684461 of budapest-kozpont-later: messages that failed in an outage were retried one latency
+// objective later by all senders at once, which overloaded the destination as it recovered. Such retries are
+// spread where there are many senders.
 TEST(Attempts, RetriesToAnEjectedDestinationAreSpread) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
@@ -147,7 +149,7 @@
     while (!retried && driver.now < 19 * kSecond) {
       retried = !driver.at(driver.now + 10 * kMillisecond).wake().empty();
     }
-    EXPECT_GE(driver.now, 2 * kSecond);  // an aim
+    EXPECT_GE(driver.now, 2 * kSecond);  // a latency objective
     back.insert(driver.now / (500 * kMillisecond));
   }
   EXPECT_GE(back.size(), 8u);
--- a/tests/decision/bound_test.cpp
+++ b/tests/decision/bound_test.cpp
@@ -1,4 +1,4 @@
-// 2 upper bound: limits, parts, waits and returning destinations.
+// The upper bound of the sending rate: limits, quotas, Retry-After and recovering destinations.
 #include <algorithm>
 
 #include "support/scheduler_fixture.h"
@@ -24,8 +24,8 @@
   EXPECT_EQ(later.size(), 2u);
 }
 
-// The fail-back rule: after an outage what this sender sends within FallMs stays inside cold share x factor x
-// its even part of the limit, however much is held.
+// The recovery ramp: after an outage what this sender sends within FallMs stays within ColdShare x
+// OverloadFactor x its even share of the limit, however many messages are queued.
 TEST(Bound, RecoveryRampOfAReturningDestination) {
   Settings settings = makeSettings();
   settings.sender_count = 2;
@@ -59,14 +59,15 @@
     }
   }
   ASSERT_GT(sent_at.size(), 20u);
-  // Within the first span after the return, and one trial more for chance.
+  // Within the first span after the recovery, and one trial more, as the pacing is random.
   const auto early = std::count_if(sent_at.begin(), sent_at.end(),
                                    [&](Micros t) { return t < back + settings.overload_window; });
   EXPECT_LE(early, 1 + 20 * 0.5 * 1.5 * (0.3 + 0.7 * 0.2) * 2);
   EXPECT_GE(early, 4);
 }
 
-// Hands in all, then answers each call 50 ms after it began; the calls started in so many steps of 50 ms.
+// Submits all messages, then answers each call 50 ms after its start; returns the number of calls started in
+// so many steps of 50 ms.
 std::size_t startsWhenAnswered(SchedulerDriver& driver, const std::vector<Event>& all, int steps,
                                std::map<std::string, int> tries) {
   Ids out = driver.run(all);
@@ -83,7 +84,7 @@
   return n;
 }
 
-// A refusal that told no wait cuts this sender's part: the next calls come further apart.
+// A throttled response without a Retry-After reduces this sender's quota: the next calls are further apart.
 TEST(Bound, ThrottledCallsDecreaseTheQuotaFraction) {
   Settings settings = makeSettings();
   settings.call_slots = 50;
@@ -103,8 +104,8 @@
   EXPECT_LT(count(true), count(false));
 }
 
-// A destination that takes all it is sent but for a moment, in which it refuses; ten messages a second.
-// Answers how many seconds' worth of them wait a few seconds later.
+// A destination that accepts all calls except for a moment in which it throttles; ten messages a second.
+// Returns the backlog a few seconds later, in seconds of traffic.
 double backlogAfterRefusals(Micros from, Micros until) {
   Settings settings = makeSettings();
   settings.sender_count = 2;
@@ -135,8 +136,9 @@
   return static_cast<double>(arrived - served) / 10;
 }
 
-// ticket4185: rates counted from nothing, so a refusal in the first seconds set a limit far below what had
-// just been served, and it regained a twentieth of a portion in FallMs: hundreds waited with most slots free.
+// ticket4185: rates were measured from zero, so a throttled response in the first seconds set a limit far
+// below the rate just served, and it regained a twentieth of a portion in FallMs: hundreds were queued with
+// most slots free.
 TEST(Bound, LearnedLimitIsTheServedRateAlsoInTheFirstSeconds) {
   EXPECT_LT(backlogAfterRefusals(2 * kSecond, 2 * kSecond + 100 * kMillisecond), 0.5);
 }
@@ -144,7 +146,8 @@
   EXPECT_LT(backlogAfterRefusals(15 * kSecond, 15 * kSecond + 900 * kMillisecond), 0.5);
 }
 
-// "Floor plus every spare slot" (an objection to the design): a told limit caps due local tags as well.
+// "Floor plus every spare slot" (an objection to the design): an advertised limit caps due local tags as
+// well.
 TEST(Bound, AdvertisedLimitCapsReservedAndSpareSlots) {
   Settings settings = makeSettings();
   settings.call_slots = 100;
@@ -161,9 +164,9 @@
   EXPECT_LE(n, 16u);  // 4 a second for 3 s, and half a second's burst
 }
 
-// fresh-big of budapest-kozpont-later: the first tries of rare senders passed all pacing of a destination
-// that they had seen fail; together they pushed it over when it came back. While it is down they are paced
-// too.
+// fresh-big of budapest-kozpont-later: the first attempts of senders with little traffic bypassed the pacing
+// of a destination that they had seen fail; together they overloaded it as it recovered. While it is down
+// they are paced, too.
 TEST(Bound, FirstAttemptsOfARareSenderArePacedWhileADestinationIsEjected) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
@@ -179,8 +182,8 @@
   EXPECT_LE(n, 1u);  // a trial at most
 }
 
-// Calls that passed the pacing must leave no debt: their tags ran ahead until every pacing outlasted every
-// message, so that all passed.
+// Calls that bypassed the pacing must not advance the tags: these ran ahead until the pacing outlasted every
+// message, so that every call bypassed it.
 TEST(Bound, CallThatPassedThePacingLeavesNoDebt) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
@@ -207,7 +210,7 @@
   EXPECT_LT(driver.now - from, 15 * kSecond);
 }
 
-// rough-1 of debrecen-kelet-later: clients with little patience; pacing that outlasts a message only loses
+// rough-1 of debrecen-kelet-later: messages with short deadlines; pacing that outlasts a message only loses
 // it.
 TEST(Bound, FirstAttemptPassesAPacingThatWouldOutlastTheMessage) {
   Settings settings = makeSettings();
@@ -219,14 +222,15 @@
   driver.at(100 * kMillisecond).end("m", 0, AttemptResult::ok);
   driver.at(kSecond).arrive("x", "safe", 1);
   driver.at(kSecond + 100 * kMillisecond)
-      .end("x", 0, AttemptResult::throttled);  // no wait told: the next calls are paced
+      .end("x", 0, AttemptResult::throttled);  // no Retry-After: the next calls are paced
   driver.at(kSecond + 110 * kMillisecond);
   Arrival patient = driver.arrival("patient", "safe", 1), hasty = driver.arrival("hasty", "safe", 1);
   hasty.deadline = Deadline::after(driver.now, 250 * kMillisecond);
   EXPECT_EQ(driver.run({patient, hasty}), Ids{"hasty"});
 }
 
-// gyor-nyugat-later big-1: told waits of a shut destination end for all at one moment, and it fell over.
+// gyor-nyugat-later big-1: the Retry-After of a closed destination ended for all senders at one moment, which
+// overloaded it.
 TEST(Bound, SendersReturnSpreadAfterALongRetryAfter) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
@@ -247,8 +251,8 @@
   EXPECT_GT(back[15] - back[4], settings.overload_window / 2);
 }
 
-// hf6a5a4: many senders each tried a hanging destination three times before they called it an outage;
-// together the further tries pushed it over when it came back. One of many paces after its first failure.
+// hf6a5a4: many senders each called a hanging destination three times before they took it for an outage;
+// together the retries overloaded it as it recovered. One of many senders paces after its first failure.
 TEST(Bound, OneFailurePacesRetriesOfOneOfManySenders) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
@@ -266,8 +270,8 @@
   EXPECT_LE(tries, 2);
 }
 
-// h263b28: each of many senders that had seen a hang tried it once more at once, and together they pushed it
-// over when it came back. The first trial is spread as well.
+// h263b28: each of many senders that had seen a hang retried at once, and together they overloaded the
+// destination as it recovered. The first trial is spread as well.
 TEST(Bound, FirstTrialOfOneOfManySendersIsSpread) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
--- a/tests/decision/health_test.cpp
+++ b/tests/decision/health_test.cpp
@@ -1,4 +1,4 @@
-// 3 health: sickness, the lane, connections that die idle.
+// Health: outliers, their bulkhead, connections that die while idle.
 #include <algorithm>
 
 #include "support/scheduler_fixture.h"
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Incident i98b5a8: idle connections died unseen at every destination; each call on a reused one was lost,
-// the next, on a fresh one, answered. After a few such signs idle connections are closed before a call.
+// Incident i98b5a8: idle connections died unnoticed at every destination; each call on a reused one was lost,
+// the next, on a new one, was answered. After a few such signs idle connections are closed before a call.
 TEST(Health, IdleConnectionsThatDieSilentlyAreClosedBeforeTheNextCall) {
   Settings settings = makeSettings();
   settings.connection_idle_timeout = 60 * kSecond;
@@ -23,7 +23,7 @@
   auto call = [&](int d, AttemptResult result, Micros rtt) {
     const std::string id = "m" + std::to_string(n++);
     driver.at(t).arrive(id, "safe", d);
-    driver.at(t + rtt).wake();  // an overdue call is noticed while it is out
+    driver.at(t + rtt).wake();  // an overdue call is noticed while it is in flight
     driver.at(t + rtt + 1).end(id, 0, result, rtt);
     t += rtt + 10 * kMillisecond;
   };
@@ -40,7 +40,7 @@
     while (sent.empty()) {
       sent = driver.at(t += 50 * kMillisecond).wake();
     }
-    driver.at(t += 100 * kMillisecond).end(sent[0], 1, AttemptResult::ok);  // its further try, on a fresh one
+    driver.at(t += 100 * kMillisecond).end(sent[0], 1, AttemptResult::ok);  // its retry, on a new one
   }
   t = driver.now + kSecond;
   EXPECT_EQ(driver.at(t).arrive("last", "safe", 6).size(), 1u);
@@ -48,9 +48,9 @@
   EXPECT_EQ(driver.got<CloseIdleConnections>()[0].endpoint, "e6");
 }
 
-// ticket5282: slow calls that were called off or timed out on connections that had just been in use passed
+// ticket5282: slow calls that were cancelled or timed out on connections that had just been in use were taken
 // for the same signs, and all idle connections were closed before each call. Answers on connections that had
-// idled as long, or longer, show that idling does not kill them.
+// been idle as long, or longer, show that idling does not kill them.
 TEST(Health, LostCallsAreNoSignOfDeadConnectionsWhereLongerIdleOnesAnswer) {
   Settings settings = makeSettings();
   settings.connection_idle_timeout = 60 * kSecond;
@@ -83,15 +83,16 @@
     while (sent.empty()) {
       sent = driver.at(t += 50 * kMillisecond).wake();
     }
-    driver.at(t += 100 * kMillisecond).end(sent[0], 1, AttemptResult::ok);  // its further try, on a fresh one
+    driver.at(t += 100 * kMillisecond).end(sent[0], 1, AttemptResult::ok);  // its retry, on a new one
     t += 10 * kMillisecond;
   }
   call(5, AttemptResult::ok, 100 * kMillisecond);
   EXPECT_EQ(closed, 0u);
 }
 
-// i0e42b8: the same among many senders, that see each endpoint too rarely for the signs to meet there: a call
-// lost on one endpoint's reused connection and the next answered on another's fresh one is a sign as well.
+// i0e42b8: the same among many senders, which call each endpoint too rarely for the signs to coincide there:
+// a call lost on one endpoint's reused connection and the next answered on another's new one is a sign as
+// well.
 TEST(Health, SignsOfDeadIdleConnectionsAreMatchedByDestination) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
@@ -134,9 +135,9 @@
   EXPECT_EQ(driver.got<CloseIdleConnections>().size(), 1u);
 }
 
-// rough-2 of budapest-kozpont, ie55d22: several destinations hang together; calls that were out when they
-// fell sick held all slots. Those beyond the lane are called off, repeatable ones first, and the healthy get
-// slots.
+// rough-2 of budapest-kozpont, ie55d22: several destinations hang at once; calls that were in flight when
+// they became outliers held all slots. Those beyond the bulkhead are cancelled, idempotent ones first, and
+// the healthy destinations get slots.
 TEST(Health, OverdueCallsBeyondTheBulkheadAreCancelledWhenNoSlotIsLeft) {
   Settings settings = makeSettings();
   settings.call_slots = 4;
@@ -162,9 +163,9 @@
   EXPECT_EQ(driver.at(driver.now + 5 * kMillisecond).run({o}), std::vector<std::string>{"healthy"});
 }
 
-// ticket4109: destinations that went silent drew calls into the lane until the time-outs of the first ones
-// ended, seconds later, and each held a slot as long. Three overdue calls with none answered since make an
-// outage, whose trials are paced.
+// ticket4109: destinations that stopped answering were sent calls within the bulkhead until the first ones
+// timed out, seconds later, and each held a slot as long. Three overdue calls with none answered since make
+// an outage, whose trials are paced.
 TEST(Health, SeveralOverdueCallsEjectBeforeAnyTimeOut) {
   Settings settings = makeSettings();
   settings.sender_count = 2;
@@ -184,7 +185,7 @@
   for (int i = 0; i < 5; ++i) {
     more.emplace_back(driver.arrival("m" + std::to_string(i), "safe", 1));
   }
-  EXPECT_LE(driver.run(more).size(), 1u);  // a trial, where the lane has room for seven
+  EXPECT_LE(driver.run(more).size(), 1u);  // a trial, where the bulkhead has capacity for seven
   std::size_t n = 0;
   for (int i = 0; i < 10; ++i) {
     n += driver.at(driver.now + 100 * kMillisecond).wake().size();
@@ -192,8 +193,8 @@
   EXPECT_LE(n, 2u);
 }
 
-// rough-2 of budapest-kozpont: nine destinations hung with one call each; none counted as sick, all slots
-// went.
+// rough-2 of budapest-kozpont: nine destinations hung with one call each; none counted as an outlier, and all
+// slots were used up.
 TEST(Health, OneOverdueCallMakesADestinationAnOutlier) {
   Settings settings = makeSettings();
   settings.call_slots = 4;
@@ -209,13 +210,13 @@
     driver.at(driver.now + 100 * kMillisecond).end(id, 0, AttemptResult::ok);
   }
   driver.at(driver.now + kSecond).run({driver.arrival("a", "safe", 1), driver.arrival("b", "safe", 2)});
-  driver.at(driver.now + 600 * kMillisecond).wake();  // both overdue now: the lane of two is full
+  driver.at(driver.now + 600 * kMillisecond).wake();  // both overdue now: the bulkhead of two is full
   EXPECT_TRUE(driver.run({driver.arrival("c", "safe", 1), driver.arrival("d", "safe", 2)}).empty());
   EXPECT_EQ(driver.run({driver.arrival("x", "safe", 3), driver.arrival("y", "safe", 4)}).size(), 2u);
 }
 
-// Seen on loopback under load: answers in 0.1 ms made time-outs of 1.6 ms, and a payment whose answer took
-// 3 ms was cut off and lost, though the next turn, a tick later, would have heard it at the same moment.
+// Observed on loopback under load: answers in 0.1 ms led to time-outs of 1.6 ms, and a payment whose answer
+// took 3 ms timed out and was lost, though the next turn, a tick later, would have received it in time.
 TEST(Health, TimeOutIsNeverShorterThanATick) {
   SchedulerDriver driver;
   driver.at(kSecond).list({makeEndpoint("e", 1)});
--- a/tests/decision/membership_test.cpp
+++ b/tests/decision/membership_test.cpp
@@ -1,4 +1,4 @@
-// 6 membership: the list of endpoints, and events that name nothing.
+// Membership: the endpoint list, and events that name no known message or endpoint.
 #include <algorithm>
 
 #include "support/scheduler_fixture.h"
@@ -41,7 +41,7 @@
   driver.list({makeEndpoint("e1", 1)});
   EXPECT_TRUE(driver.run({AttemptOutcome{}, Abandoned{"nobody"}}).empty());
   EXPECT_TRUE(driver.arrive("odd", "no such class", 1).empty());
-  EXPECT_EQ(driver.got<Fail>().size(), 1u);  // it owes an answer all the same
+  EXPECT_EQ(driver.got<Fail>().size(), 1u);  // an answer is due all the same
   EXPECT_EQ(driver.arrive("m", "safe", 1), Ids{"m"});
 }
 
--- a/tests/decision/property_test.cpp
+++ b/tests/decision/property_test.cpp
@@ -1,5 +1,5 @@
-// A long random but legal sequence of events against one DeliveryScheduler, without any model of servers:
-// after each turn the rules that a sender can see by itself must hold.
+// A long random but legal sequence of events for one DeliveryScheduler, without a model of endpoints: after
+// each turn the rules that a sender can check by itself must hold.
 #include <algorithm>
 #include <deque>
 #include <random>
@@ -31,14 +31,12 @@
  public:
   RandomEvents(const Settings& settings, std::uint64_t seed)
       : settings_(settings), random_(seed), scheduler_(settings, seed) {
-    for (int d = 0; d < 5; ++d) {
-      for (int i = 0; i < 1 + d % 3; ++i) {
-        const std::string id = "e" + std::to_string(d) + std::to_string(i);
-        endpoints_.push_back(makeEndpoint(
-            id, d,
-            settings_.destination_kinds[static_cast<std::size_t>(d) % settings_.destination_kinds.size()]
-                .name,
-            1 + below(20), below(2) ? "a" : "b"));
+    const auto& kinds = settings_.destination_kinds;
+    for (int destination = 0; destination < 5; ++destination) {
+      const std::string& kind = kinds[static_cast<std::size_t>(destination) % kinds.size()].name;
+      for (int i = 0; i < 1 + destination % 3; ++i) {
+        const std::string id = "e" + std::to_string(destination) + std::to_string(i);
+        endpoints_.push_back(makeEndpoint(id, destination, kind, 1 + below(20), below(2) ? "a" : "b"));
       }
     }
     turn({EndpointsChanged{EndpointUpdateKind::cached, endpoints_}});
@@ -55,7 +53,7 @@
       events.emplace_back(TimerFired{});
     }
     for (auto& [id, message] : messages_) {
-      if (!message.ended && message.order > 0 && below(300) == 0) {  // nobody wants it any more
+      if (!message.ended && message.order > 0 && below(300) == 0) {  // its client has disconnected
         message.ended = true;
         events.emplace_back(Abandoned{id});
       }
@@ -67,7 +65,7 @@
         }
       }
     }
-    for (int n = below(4); n > 0; --n) {
+    for (int count = below(4); count > 0; --count) {
       arrive(events);
     }
     for (auto& [id, message] : messages_) {
@@ -119,14 +117,14 @@
   int answered = 0;
 
  private:
-  int below(int n) { return static_cast<int>(random_() % static_cast<std::uint64_t>(n)); }
+  int below(int limit) { return static_cast<int>(random_() % static_cast<std::uint64_t>(limit)); }
 
-  AttemptResult anyResult(std::int64_t dest) {
-    const AttemptResult bad[] = {AttemptResult::error, AttemptResult::throttled,
-                                 AttemptResult::connect_failed, AttemptResult::reset,
-                                 AttemptResult::not_sent};
-    const bool ill = (now_ / (7 * kSecond) + dest) % 3 == 0;
-    return below(10) < (ill ? 8 : 1) ? bad[below(5)] : AttemptResult::ok;
+  AttemptResult anyResult(std::int64_t destination) {
+    const AttemptResult failures[] = {AttemptResult::error, AttemptResult::throttled,
+                                      AttemptResult::connect_failed, AttemptResult::reset,
+                                      AttemptResult::not_sent};
+    const bool has_fault = (now_ / (7 * kSecond) + destination) % 3 == 0;
+    return below(10) < (has_fault ? 8 : 1) ? failures[below(5)] : AttemptResult::ok;
   }
 
   void arrive(std::vector<Event>& events) {
@@ -146,7 +144,7 @@
       message.order_key = "k" + std::to_string(below(3));
     }
     message.expires_at = now_ + (below(5) ? message.rules->deadline
-                                          : Micros{below(800)} * kMillisecond);  // some come with little time
+                                          : Micros{below(800)} * kMillisecond);  // some have little time
     message.order = static_cast<std::uint64_t>(arrivals_);
     Arrival arrival;
     arrival.id = id;
@@ -194,11 +192,11 @@
   }
 
   const DestinationKind& kindOf(const std::string& endpoint) {
-    for (const EndpointInfo& e : endpoints_) {
-      if (e.id == endpoint) {
-        for (const DestinationKind& k : settings_.destination_kinds) {
-          if (k.name == e.kind) {
-            return k;
+    for (const EndpointInfo& each : endpoints_) {
+      if (each.id == endpoint) {
+        for (const DestinationKind& kind : settings_.destination_kinds) {
+          if (kind.name == each.kind) {
+            return kind;
           }
         }
       }
@@ -207,11 +205,14 @@
   }
 
   void changeList(std::vector<Event>& events) {
-    EndpointInfo& e = endpoints_[static_cast<std::size_t>(below(static_cast<int>(endpoints_.size())))];
-    e.state = e.state == EndpointState::ready ? (below(2) ? EndpointState::draining : EndpointState::removed)
-                                              : EndpointState::ready;
-    unlisted_at_[e.id] = e.state == EndpointState::ready ? -1 : now_;
-    events.emplace_back(EndpointsChanged{EndpointUpdateKind::delta, {e}});
+    EndpointInfo& changed = endpoints_[static_cast<std::size_t>(below(static_cast<int>(endpoints_.size())))];
+    if (changed.state != EndpointState::ready) {
+      changed.state = EndpointState::ready;
+    } else {
+      changed.state = below(2) ? EndpointState::draining : EndpointState::removed;
+    }
+    unlisted_at_[changed.id] = changed.state == EndpointState::ready ? -1 : now_;
+    events.emplace_back(EndpointsChanged{EndpointUpdateKind::delta, {changed}});
   }
 
   void turn(const std::vector<Event>& events) {
@@ -222,10 +223,10 @@
         ++sent_to[send->endpoint];
       }
       if (const auto* reject = std::get_if<Reject>(&action)) {
-        final(reject->id, true);
+        onFinalAnswer(reject->id, true);
       }
       if (const auto* fail = std::get_if<Fail>(&action)) {
-        final(fail->id, false);
+        onFinalAnswer(fail->id, false);
       }
       if (const auto* timer = std::get_if<SetTimer>(&action)) {
         timer_at_ = timer_at_ > now_ ? std::min(timer_at_, now_ + timer->delay) : now_ + timer->delay;
@@ -243,9 +244,9 @@
         }
       }
     }
-    for (auto& [call, n] : calls) {
-      const int per = kindOf(call.first).messages_per_call;
-      slots += (n + per - 1) / per;
+    for (auto& [call, messages] : calls) {
+      const int messages_per_call = kindOf(call.first).messages_per_call;
+      slots += (messages + messages_per_call - 1) / messages_per_call;
     }
     EXPECT_LE(slots, settings_.call_slots);
     for (auto& [id, message] : messages_) {
@@ -256,21 +257,21 @@
     }
   }
 
-  void final(const std::string& id, bool refuse) {
+  void onFinalAnswer(const std::string& id, bool is_rejected) {
     ASSERT_TRUE(messages_.count(id)) << id;
     MessageState& message = messages_[id];
     EXPECT_FALSE(message.ended) << "two answers for " << id;
     message.ended = true;
     ++answered;
-    if (!refuse) {
+    if (!is_rejected) {
       return;
     }
-    const bool ran = std::any_of(message.attempts.begin(), message.attempts.end(),
-                                 [](const AttemptState& attempt) { return attempt.may_have_run; });
-    if (ran && message.rules->idempotency == Idempotency::non_idempotent) {
-      ADD_FAILURE() << "refused what may have run: " << id;
+    const bool may_have_run = std::any_of(message.attempts.begin(), message.attempts.end(),
+                                          [](const AttemptState& attempt) { return attempt.may_have_run; });
+    if (may_have_run && message.rules->idempotency == Idempotency::non_idempotent) {
+      ADD_FAILURE() << "rejected a message that may have run: " << id;
     }
-    if (ran && message.rules->idempotency == Idempotency::with_key) {
+    if (may_have_run && message.rules->idempotency == Idempotency::with_key) {
       EXPECT_EQ(message.rules->deduplication_scope, DeduplicationScope::all) << id;
     }
   }
@@ -280,23 +281,23 @@
     MessageState& message = messages_[send.id];
     EXPECT_FALSE(message.ended) << "sent after its end: " << send.id;
     EXPECT_LT(static_cast<int>(message.attempts.size()), settings_.max_attempts);
-    const EndpointInfo* e = nullptr;
-    for (const EndpointInfo& x : endpoints_) {
-      if (x.id == send.endpoint) {
-        e = &x;
+    const EndpointInfo* endpoint = nullptr;
+    for (const EndpointInfo& each : endpoints_) {
+      if (each.id == send.endpoint) {
+        endpoint = &each;
       }
     }
-    ASSERT_NE(e, nullptr);
-    EXPECT_EQ(e->destination, message.destination);
+    ASSERT_NE(endpoint, nullptr);
+    EXPECT_EQ(endpoint->destination, message.destination);
     EXPECT_GT(send.timeout, 0);
     EXPECT_LE(now_ + send.timeout, message.expires_at);
-    if (unlisted_at_.count(e->id) && unlisted_at_[e->id] >= 0) {
-      EXPECT_LE(now_, unlisted_at_[e->id] + settings_.drain_grace) << e->id;
+    if (unlisted_at_.count(endpoint->id) && unlisted_at_[endpoint->id] >= 0) {
+      EXPECT_LE(now_, unlisted_at_[endpoint->id] + settings_.drain_grace) << endpoint->id;
     }
     const std::string scope =
-        kindOf(e->id).independent_routes ? e->id : "d" + std::to_string(message.destination);
+        kindOf(endpoint->id).independent_routes ? endpoint->id : "d" + std::to_string(message.destination);
     if (retry_after_until_.count(scope)) {
-      EXPECT_GE(now_, retry_after_until_[scope]) << "wait of " << scope;
+      EXPECT_GE(now_, retry_after_until_[scope]) << "Retry-After of " << scope;
     }
     for (const AttemptState& attempt : message.attempts) {
       if (attempt.in_flight) {
@@ -305,25 +306,26 @@
       if (!attempt.may_have_run) {
         continue;
       }
-      EXPECT_NE(message.rules->idempotency, Idempotency::non_idempotent) << "unsafe sent twice: " << send.id;
+      EXPECT_NE(message.rules->idempotency, Idempotency::non_idempotent)
+          << "not idempotent and sent twice: " << send.id;
       if (message.rules->idempotency != Idempotency::with_key) {
         continue;
       }
       EXPECT_LE(now_, attempt.sent_at + message.rules->deduplication_window);
-      for (const EndpointInfo& x : endpoints_) {
-        if (x.id == attempt.endpoint && message.rules->deduplication_scope == DeduplicationScope::zone) {
-          EXPECT_EQ(x.zone, e->zone);
+      for (const EndpointInfo& each : endpoints_) {
+        if (each.id == attempt.endpoint && message.rules->deduplication_scope == DeduplicationScope::zone) {
+          EXPECT_EQ(each.zone, endpoint->zone);
         }
       }
     }
     if (!message.order_key.empty()) {
-      for (auto& [id, o] : messages_) {
-        if (o.order_key != message.order_key || o.order >= message.order) {
+      for (auto& [id, other] : messages_) {
+        if (other.order_key != message.order_key || other.order >= message.order) {
           continue;
         }
-        const bool out = std::any_of(o.attempts.begin(), o.attempts.end(),
-                                     [](const AttemptState& attempt) { return attempt.in_flight; });
-        EXPECT_TRUE(o.ended && !out) << send.id << " before " << id;
+        const bool in_flight = std::any_of(other.attempts.begin(), other.attempts.end(),
+                                           [](const AttemptState& attempt) { return attempt.in_flight; });
+        EXPECT_TRUE(other.ended && !in_flight) << send.id << " before " << id;
       }
       if (message.attempts.empty() && order_paused_until_.count(message.order_key)) {
         EXPECT_GE(now_, order_paused_until_[message.order_key]) << message.order_key;
@@ -365,12 +367,12 @@
     if (variant % 4 == 1) {
       settings.classes[1].deduplication_scope = DeduplicationScope::zone;
     }
-    RandomEvents world(settings, static_cast<std::uint64_t>(variant) + 1);
+    RandomEvents events(settings, static_cast<std::uint64_t>(variant) + 1);
     for (int i = 0; i < 1500; ++i) {
-      world.step();
+      events.step();
     }
-    world.drain();
-    EXPECT_GT(world.answered, 0);
+    events.drain();
+    EXPECT_GT(events.answered, 0);
   }
 }
 
--- a/tests/decision/restart_test.cpp
+++ b/tests/decision/restart_test.cpp
@@ -1,4 +1,4 @@
-// What one process of the sender leaves to the next: resumed messages, health, and the end of a process.
+// What a process leaves to its successor: resumed messages and health records; and the end of a process.
 #include <algorithm>
 #include <set>
 
@@ -18,7 +18,7 @@
   return recovered;
 }
 
-// A repeat's connection may have to come up first (1 s at most here), and the window of 5 s is over when it
+// A retry may have to connect first (1 s at most here), and the deduplication window of 5 s has ended when it
 // arrives.
 TEST(Restart, NoRepeatThatMayArriveAfterTheDeduplicationWindow) {
   SchedulerDriver driver;
@@ -49,7 +49,7 @@
   }
   EXPECT_EQ((std::set<std::string>{"unsafe", "away"}), failed);
   ASSERT_EQ(1u,
-            driver.got<Reject>().size());  // repeats are dropped at all of its endpoints: harmless to hand in
+            driver.got<Reject>().size());  // all of its endpoints deduplicate: it may be submitted again
   EXPECT_EQ("forgotten", driver.got<Reject>()[0].id);
 }
 
@@ -65,7 +65,8 @@
   EXPECT_EQ(1u, driver.got<Reject>().size());
 }
 
-// A call that the process before still has out holds its slot, is not sent again, and ends like one's own.
+// A call that the predecessor still has in flight holds its slot, is not sent again, and ends like an own
+// one.
 TEST(Restart, CallsInFlightInTheEarlierProcessAreAwaited) {
   Settings set = makeSettings();
   set.call_slots = 2;
@@ -76,16 +77,16 @@
       driver.run({recovered(driver, "a", "unsafe", {out}), recovered(driver, "b", "unsafe", {out})}).empty());
   EXPECT_TRUE(driver.got<Fail>().empty());
   driver.at(100 * kSecond + 10 * kMillisecond);
-  EXPECT_TRUE(driver.arrive("next", "safe", 1).empty());  // both slots are taken
+  EXPECT_TRUE(driver.arrive("next", "safe", 1).empty());  // both slots are in use
   driver.at(100 * kSecond + 20 * kMillisecond);
   EXPECT_EQ(std::vector<std::string>{"next"}, driver.end("a", 0, AttemptResult::ok));
   driver.at(100 * kSecond + 30 * kMillisecond);
-  driver.end("b", 0, AttemptResult::cancelled);  // lost with that process: it may have run
+  driver.end("b", 0, AttemptResult::cancelled);  // lost with the predecessor: it may have run
   ASSERT_EQ(1u, driver.got<Fail>().size());
   EXPECT_EQ("b", driver.got<Fail>()[0].id);
 }
 
-// A wait outlasts the process that was told it.
+// A Retry-After outlasts the process that received it.
 TEST(Restart, RetryAfterIsKeptByTheNextProcess) {
   SchedulerDriver first;
   first.at(100 * kSecond).list({makeEndpoint("e", 1)});
@@ -102,7 +103,8 @@
   EXPECT_EQ(1u, next.wake().size());
 }
 
-// The next process resumes a backlog: it must pace what it heard failing as the one before would have.
+// The successor resumes a backlog: it must pace a destination that it sees failing as the predecessor would
+// have.
 TEST(Restart, HealthRecordsAreWrittenAndKeptByTheNextProcess) {
   SchedulerDriver first;
   first.at(100 * kSecond).list({makeEndpoint("e", 1, "shared", 10)});
@@ -144,8 +146,7 @@
   driver.at(101 * kSecond).run({ShutdownScheduled{101 * kSecond + 3 * kSecond}});
   EXPECT_EQ(1u, driver.arrive("soon", "unsafe", 1).size());
   driver.at(driver.now + 100 * kMillisecond).end("soon", 0, AttemptResult::ok);
-  // Half of its time-out is left, many times what an answer takes: it is not kept waiting for the next
-  // process.
+  // Half of its time-out is left, many times what an answer takes: it is not left to the successor.
   driver.at(104 * kSecond - 900 * kMillisecond);
   EXPECT_EQ(1u, driver.arrive("payment", "unsafe", 1).size());
   EXPECT_GT(driver.now + driver.timeout["payment"], 104 * kSecond);
@@ -153,11 +154,12 @@
   driver.at(104 * kSecond - 50 * kMillisecond);
   EXPECT_TRUE(driver.arrive("late", "unsafe", 1).empty());
   EXPECT_TRUE(driver.got<Fail>().empty());
-  EXPECT_TRUE(driver.got<Reject>().empty());  // it is left to the next process
+  EXPECT_TRUE(driver.got<Reject>().empty());  // it is left to the successor
 }
 
-// What a restart finds untried has been promised a try: with one slot, a table that is more than full and a
-// queue far longer than many senders' short one, none is refused for the room, and each goes as a slot comes.
+// Recovered messages without an attempt have been accepted: with one slot, a table that is more than full and
+// a queue far longer than the short one of many senders, none is rejected for lack of capacity, and each is
+// sent as a slot becomes free.
 TEST(Restart, RecoveredMessageWithoutAnAttemptIsSentHoweverFullTheSenderIs) {
   Settings settings = makeSettings();
   settings.max_messages = 8;
@@ -177,7 +179,7 @@
     EXPECT_TRUE(driver.got<Reject>().empty());
     EXPECT_TRUE(driver.got<Fail>().empty());
     driver.arrive("new" + std::to_string(turn), "safe",
-                  1);  // those that come meanwhile take no place of theirs
+                  1);  // new messages do not displace them
     sent = driver.at(driver.now + 50 * kMillisecond).end(sent[0], 0, AttemptResult::ok);
     for (int i = 0; i < 40 && sent.empty(); ++i) {
       sent = driver.at(driver.now + 50 * kMillisecond).wake();
@@ -188,7 +190,7 @@
   }
 }
 
-// It goes before what has come to other destinations since, too: there a busy sender's slots would go.
+// It is sent before later messages to other destinations, too, which would use a busy sender's slots.
 TEST(Restart, RecoveredMessageWithoutAnAttemptGoesBeforeOtherDestinations) {
   Settings settings = makeSettings();
   settings.call_slots = 1;
@@ -214,8 +216,8 @@
   }
 }
 
-// What a process hands over to the next is no restart's: it goes in the usual order, with what comes
-// meanwhile.
+// Messages of a handover are not those of a restart: they are sent in the usual order, together with new
+// ones.
 TEST(Restart, HandedOverMessagesGoInTheUsualOrder) {
   Settings settings = makeSettings();
   settings.call_slots = 1;
--- a/tests/decision/tags_test.cpp
+++ b/tests/decision/tags_test.cpp
@@ -1,4 +1,4 @@
-// 1 tags: the ordinary path, dual tags as in the paper, computed by hand.
+// Dual tags on the ordinary path, as in the paper, computed by hand.
 #include <algorithm>
 
 #include "support/scheduler_fixture.h"
@@ -8,8 +8,8 @@
 
 namespace {
 
-// The paper's Table 3: M1 = 20, M2 = 40 a second, w1:w2 = 3:1, one server of 100 a second. Each 50 ms three
-// starts go to c1 and two to c2.
+// The paper's Table 3: M1 = 20, M2 = 40 a second, w1:w2 = 3:1, one server of 100 a second. In each 50 ms
+// three calls are started for c1 and two for c2.
 TEST(Tags, PaperTable3) {
   Settings settings = makeSettings();
   settings.call_slots = 1;
@@ -18,7 +18,7 @@
                       makeClass("c2", Idempotency::idempotent, 25 * kMillisecond)};
   SchedulerDriver driver(settings);
   driver.list({makeEndpoint("e1", 1, "shared", 3000), makeEndpoint("e2", 2, "shared", 1000)});
-  // Weights in the ratio 3:1, far above what the server does, so that no bound decides.
+  // Weights in the ratio 3:1, far above the server's rate, so that no bound decides.
   std::vector<Event> all;
   for (int i = 0; i < 30; ++i) {
     all.emplace_back(driver.arrival("a" + std::to_string(i), "c1", 1));
@@ -74,8 +74,8 @@
   driver.list({makeEndpoint("e1", 1, "shared", 100), makeEndpoint("e2", 2, "shared", 100)});
   driver.arrive("old", "safe", 2);
   driver.at(100 * kMillisecond).end("old", 0, AttemptResult::ok);
-  // Destination 1 is backlogged, 2 comes back from idleness with four messages: its lag of two starts lets
-  // the second and third go before those of 1, not the fourth.
+  // Destination 1 is backlogged, 2 becomes active again with four messages: its lag of two starts puts the
+  // second and third before those of 1, not the fourth.
   driver.at(5 * kSecond);
   std::vector<Event> all;
   all.reserve(5);
--- a/tests/network/descriptor_limit_test.cpp
+++ b/tests/network/descriptor_limit_test.cpp
@@ -1,5 +1,5 @@
-// Connections under pressure, on the whole program: crowds, peers that never read, too few descriptors,
-// limits that are halved.
+// Connections under pressure, on the whole program: many peers at once, peers that never read, too few
+// descriptors, limits that are halved.
 #include "support/loopback.h"
 
 namespace delivery {
@@ -10,9 +10,9 @@
 const json kLimits{{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}, {"disk_mb", 3}};
 
 json limits(int sockets) {
-  json l = kLimits;
-  l["sockets"] = sockets;
-  return l;
+  json changed = kLimits;
+  changed["sockets"] = sockets;
+  return changed;
 }
 
 std::vector<std::unique_ptr<Client>> crowd(int port, int size, const char* from = nullptr) {
@@ -24,7 +24,7 @@
   return all;
 }
 
-// Peers that ask PING again and again, until they are closed or this ends.
+// Peers that send PING repeatedly, until they are closed or this object is destroyed.
 class Pingers {
  public:
   Pingers(int port, int size) : all_(crowd(port, size)), thread_([this] { run(); }) {}
@@ -36,9 +36,9 @@
  private:
   void run() {
     while (!stop_) {
-      for (auto& c : all_) {
-        c->send(Client::request({"PING"}));
-        c->discard();
+      for (auto& client : all_) {
+        client->send(Client::request({"PING"}));
+        client->discard();
       }
       std::this_thread::sleep_for(20ms);
     }
@@ -48,34 +48,34 @@
   std::thread thread_;
 };
 
-// They are never silent for long, and never useful: a client that comes behind them is served.
+// Such peers are never idle for long and never submit a message: a client that connects after them is served.
 TEST(ConnectionsProgram, ACrowdThatPingsOnAndOnMakesRoomForAClient) {
-  Fleet f(deliver);
-  const Pingers pingers(f.program.port(), 800);
-  Client behind(f.program.port());
+  Fleet setup(deliver);
+  const Pingers pingers(setup.program.port(), 800);
+  Client behind(setup.program.port());
   EXPECT_EQ("+OK", behind.put("fine", "order", 7));
 }
 
-// A crowd at another address sends whole pings all the while, so none of it is silent for long: it is from
-// the crowd that room is made, and a client with few connections that have rested longer keeps them.
+// Many peers at another address send complete requests all the while, so none of them is idle for long: one
+// of their connections is closed to make room, and a client with few connections, idle for longer, keeps
+// them.
 TEST(ConnectionsProgram, ACrowdAtOneAddressMakesRoomBeforeAClientAtAnother) {
-  Fleet f(deliver);
-  Client resting(f.program.port());
+  Fleet setup(deliver);
+  Client resting(setup.program.port());
   ASSERT_EQ("+OK", resting.put("first", "order", 7));
-  auto many = crowd(f.program.port(), 740, "127.0.0.2");
+  auto many = crowd(setup.program.port(), 740, "127.0.0.2");
   for (std::size_t i = 0; i < many.size(); ++i) {
     many[i]->send(Client::request({"MSG.PUT", "0", "x" + std::to_string(i), "c=order,d=5000,dest=7", "x"}));
   }
-  Client behind(f.program.port());
-  EXPECT_NE("", behind.put("second", "order", 7));  // taken on, or refused by a full sender
+  Client behind(setup.program.port());
+  EXPECT_NE("", behind.put("second", "order", 7));  // accepted, or rejected by a full sender
   EXPECT_NE("", resting.put("third", "order", 7));
 }
 
-// Answers that nobody takes fill the socket; from then on nothing more of that peer is read, and it is
-// closed.
+// Unread replies fill the socket; from then on nothing more of that peer is read, and it is closed.
 TEST(ConnectionsProgram, APeerThatNeverReadsItsAnswersIsClosed) {
-  Fleet f(deliver);
-  Client greedy(f.program.port());
+  Fleet setup(deliver);
+  Client greedy(setup.program.port());
   std::atomic<bool> stop{false};
   std::thread sends([&] {
     std::string pings;
@@ -86,17 +86,17 @@
     }
     stop = true;
   });
-  EXPECT_TRUE(eventually([&] { return stop.load(); })) << "it is still being read from";
+  EXPECT_TRUE(eventually([&] { return stop.load(); })) << "its requests are still being read";
   stop = true;
   sends.join();
-  Client c(f.program.port());
-  EXPECT_EQ("+OK", c.put("fine", "order", 7));
+  Client client(setup.program.port());
+  EXPECT_EQ("+OK", client.put("fine", "order", 7));
 }
 
-// One that sends 60 MB that are no request has an error line or the end of its connection, and costs nothing.
+// A peer that sends 60 MB that are no request gets an error line or its connection is closed.
 TEST(ConnectionsProgram, SixtyMegabytesOfNonsenseEndInAnErrorOrAClose) {
-  Fleet f(deliver);
-  Client big(f.program.port());
+  Fleet setup(deliver);
+  Client big(setup.program.port());
   const std::string piece(1'000'000, 'x');
   big.send("*1\r\n$60000000\r\n");
   for (int i = 0; i < 60; ++i) {
@@ -105,12 +105,13 @@
     }
   }
   EXPECT_TRUE(big.closed());
-  Client c(f.program.port());
-  EXPECT_EQ("+OK", c.put("fine", "order", 7));
+  Client client(setup.program.port());
+  EXPECT_EQ("+OK", client.put("fine", "order", 7));
 }
 
-// The machine gives fewer descriptors than the configuration names: whoever waits is let in all the same.
-// The connection to the endpoint rests for as long as the test lasts: for a new one no room is made (README).
+// The machine allows fewer descriptors than the configuration says: a waiting client is accepted all the
+// same. The connection to the endpoint stays idle for as long as the test lasts: no room is made for a new
+// one (README).
 TEST(ConnectionsProgram, RunningOutOfDescriptorsMakesRoomToo) {
   TempFolder folder;
   loopback::Agent agent;
@@ -129,42 +130,42 @@
   ASSERT_TRUE(endpoint.waitFor(2));
 }
 
-// Halved limits with the table above the new ones: it shrinks by what rests, and serves on; limits that can't
-// hold what is set aside change nothing.
-// The endpoint takes 20 ms for each call, so that the sender's time-outs, which follow its pace, outlast a
-// busy machine; and each message has come there before the next is handed in, so that none meets a full
+// Limits are halved while the table holds more connections than the new ones allow: idle connections are
+// closed, and the program goes on; limits too low for the reserved descriptors change nothing.
+// The endpoint takes 20 ms for each call, so that the sender's time-outs, which follow its latency, outlast a
+// busy machine; and each message has arrived there before the next is submitted, so that none meets a full
 // queue.
 TEST(ConnectionsProgram, HalvedLimitsShrinkAFullTable) {
-  Fleet f([](const Seen& s) {
+  Fleet setup([](const Seen& request) {
     std::this_thread::sleep_for(20ms);
-    return deliver(s);
+    return deliver(request);
   });
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 300; ++i) {
-    clients.push_back(std::make_unique<Client>(f.program.port()));
+    clients.push_back(std::make_unique<Client>(setup.program.port()));
     ASSERT_EQ("+OK", clients.back()->put("m" + std::to_string(i), "order", 7));
-    ASSERT_TRUE(f.endpoint.waitFor(static_cast<std::size_t>(i) + 1));
+    ASSERT_TRUE(setup.endpoint.waitFor(static_cast<std::size_t>(i) + 1));
   }
-  EXPECT_GT(f.program.descriptors(), 300u);
-  f.program.reloadLimits(limits(10));
-  f.program.reloadLimits({{"sockets", "many"}});
-  f.program.reloadLimits(limits(200));
-  EXPECT_TRUE(eventually([&] { return f.program.descriptors() < 150; }));
-  Client c(f.program.port());
-  EXPECT_EQ("+OK", c.put("fine", "order", 7));
-  EXPECT_EQ("OK ready", f.program.operate("READY"));
+  EXPECT_GT(setup.program.descriptors(), 300u);
+  setup.program.reloadLimits(limits(10));
+  setup.program.reloadLimits({{"sockets", "many"}});
+  setup.program.reloadLimits(limits(200));
+  EXPECT_TRUE(eventually([&] { return setup.program.descriptors() < 150; }));
+  Client client(setup.program.port());
+  EXPECT_EQ("+OK", client.put("fine", "order", 7));
+  EXPECT_EQ("OK ready", setup.program.operate("READY"));
 }
 
 TEST(ConnectionsProgram, LimitsThatCannotHoldTheReservesStopAStart) {
-  TempFolder t;
-  const std::string path = t.path() + "/config.json";
+  TempFolder folder;
+  const std::string path = folder.path() + "/config.json";
   const json config{{"listen", "127.0.0.1:0"},
                     {"discovery", "127.0.0.1:1"},
                     {"limits", limits(63)},
                     {"settings", plainSettings()}};
   std::ofstream(path) << config.dump();
   int status = 0;
-  ASSERT_GT(::waitpid(Program::spawn(path, t.path()), &status, 0), 0);
+  ASSERT_GT(::waitpid(Program::spawn(path, folder.path()), &status, 0), 0);
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 2);
 }
 
--- a/tests/process/handover_compatibility_test.cpp
+++ b/tests/process/handover_compatibility_test.cpp
@@ -24,44 +24,47 @@
               kNotSent = 7;  // results as they stand in the lines
 
 std::vector<json> jsonLines(const std::string& name) {
-  std::ifstream f(kFolder + name);
-  EXPECT_TRUE(f) << name;
-  std::vector<json> out;
-  for (std::string line; std::getline(f, line);) {
-    out.push_back(json::parse(line));
-  }
-  EXPECT_FALSE(out.empty()) << name;
-  return out;
+  std::ifstream file(kFolder + name);
+  EXPECT_TRUE(file) << name;
+  std::vector<json> lines;
+  for (std::string line; std::getline(file, line);) {
+    lines.push_back(json::parse(line));
+  }
+  EXPECT_FALSE(lines.empty()) << name;
+  return lines;
 }
 
-// The lines of one side, as they were.
+// The recorded names of the two sides.
+const std::string kPredecessorSide = "older", kSuccessorSide = "newer";
+
+// The lines that one side sent, unchanged.
 std::vector<std::string> linesOf(const std::string& side) {
-  std::vector<std::string> out;
-  for (const json& l : jsonLines("exchange.jsonl")) {
-    if (l.at("from") == side) {
-      out.push_back(l.at("line"));
+  std::vector<std::string> lines;
+  for (const json& recorded : jsonLines("exchange.jsonl")) {
+    if (recorded.at("from") == side) {
+      lines.push_back(recorded.at("line"));
     }
   }
-  return out;
+  return lines;
 }
 
 std::set<CallKey> callsIn(const json& release) {
-  std::set<CallKey> out;
-  for (const json& c : release) {
-    out.emplace(c.at(0).get<std::string>(), c.at(1).get<int>());
+  std::set<CallKey> calls;
+  for (const json& call : release) {
+    calls.emplace(call.at(0).get<std::string>(), call.at(1).get<int>());
   }
-  return out;
+  return calls;
 }
 
-json settings(double aim_ms) {
-  json s = plainSettings();
-  s["Ceilings"]["DialTimeoutMs"] = 100000.0;
-  s["Domain"]["CallSlots"] = 20;
-  for (json& c : s["Categories"]) {
-    c["AimMs"] = aim_ms;
-    c["DeadlineMs"] = 100000.0;
-  }
-  return s;
+json settings(double objective_ms) {
+  json values = plainSettings();
+  values["Ceilings"]["DialTimeoutMs"] = 100000.0;
+  values["Domain"]["CallSlots"] = 20;
+  for (json& message_class : values["Categories"]) {
+    message_class["AimMs"] = objective_ms;
+    message_class["DeadlineMs"] = 100000.0;
+  }
+  return values;
 }
 
 class UnixSocket {
@@ -72,38 +75,35 @@
   UnixSocket(const UnixSocket&) = delete;
   UnixSocket& operator=(const UnixSocket&) = delete;
   void listen(const std::string& path) {
-    const sockaddr_un a = at(path);
-    EXPECT_EQ(0, ::bind(fd_, reinterpret_cast<const sockaddr*>(&a), sizeof a));
+    const sockaddr_un address = addressOf(path);
+    EXPECT_EQ(0, ::bind(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address));
     EXPECT_EQ(0, ::listen(fd_, 4));
   }
-  int accept() {
-    pollfd p{fd_, POLLIN, 0};
-    return ::poll(&p, 1, kWait) > 0 ? ::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC) : -1;
-  }
+  int accept() { return waitUntilReadable() ? ::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC) : -1; }
   bool connect(const std::string& path) {
-    const sockaddr_un a = at(path);
-    return ::connect(fd_, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0;
+    const sockaddr_un address = addressOf(path);
+    return ::connect(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
   }
   void send(const std::string& line) {
-    const std::string whole = line + "\n";
-    EXPECT_EQ(static_cast<ssize_t>(whole.size()), ::send(fd_, whole.data(), whole.size(), MSG_NOSIGNAL))
+    const std::string bytes = line + "\n";
+    EXPECT_EQ(static_cast<ssize_t>(bytes.size()), ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL))
         << line;
   }
-  std::string line() {  // empty: the other side has ended, or says nothing
+  // The next line; empty: the other side has closed the connection, or sends nothing.
+  std::string line() {
     for (;;) {
-      const auto end = in_.find('\n');
+      const auto end = received_.find('\n');
       if (end != std::string::npos) {
-        std::string l = in_.substr(0, end);
-        in_.erase(0, end + 1);
-        return l;
+        std::string first = received_.substr(0, end);
+        received_.erase(0, end + 1);
+        return first;
       }
-      pollfd p{fd_, POLLIN, 0};
       char piece[4096];
-      const ssize_t n = ::poll(&p, 1, kWait) > 0 ? ::recv(fd_, piece, sizeof piece, 0) : 0;
-      if (n <= 0) {
+      const ssize_t size = waitUntilReadable() ? ::recv(fd_, piece, sizeof piece, 0) : 0;
+      if (size <= 0) {
         return "";
       }
-      in_.append(piece, static_cast<std::size_t>(n));
+      received_.append(piece, static_cast<std::size_t>(size));
     }
   }
   void close() {
@@ -114,98 +114,102 @@
   }
 
  private:
-  static constexpr int kWait = static_cast<int>(std::chrono::milliseconds(kLong).count());
-  static sockaddr_un at(const std::string& path) {
-    sockaddr_un a{};
-    a.sun_family = AF_UNIX;
-    path.copy(a.sun_path, sizeof a.sun_path - 1);
-    return a;
+  bool waitUntilReadable() const {
+    constexpr int kWaitMs = static_cast<int>(std::chrono::milliseconds(kLong).count());
+    pollfd poll_fd{fd_, POLLIN, 0};
+    return ::poll(&poll_fd, 1, kWaitMs) > 0;
+  }
+  static sockaddr_un addressOf(const std::string& path) {
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
+    path.copy(address.sun_path, sizeof address.sun_path - 1);
+    return address;
   }
   int fd_;
-  std::string in_;
+  std::string received_;
 };
 
-// Another process that has the lock until it is told to go: a new process kills the owner that does not hand
-// over in time, which must not be this one.
+// A child process that holds the lock until release(): a successor kills an owner that does not hand over in
+// time, and the owner must not be the test itself.
 class LockHolder {
  public:
   explicit LockHolder(const std::string& folder) {
-    int ready[2], go[2];
+    int ready[2], release_pipe[2];
     EXPECT_EQ(0, ::pipe2(ready, O_CLOEXEC));
-    EXPECT_EQ(0, ::pipe2(go, O_CLOEXEC));
+    EXPECT_EQ(0, ::pipe2(release_pipe, O_CLOEXEC));
     pid_ = ::fork();
     if (pid_ == 0) {
-      ::close(go[1]);
+      ::close(release_pipe[1]);
       OwnershipLock lock(folder);
-      char c = lock.tryAcquire() ? 'y' : 'n';
-      (void)!::write(ready[1], &c, 1);
-      (void)!::read(go[0], &c, 1);
+      char acquired = lock.tryAcquire() ? 'y' : 'n';
+      (void)!::write(ready[1], &acquired, 1);
+      (void)!::read(release_pipe[0], &acquired, 1);
       ::_exit(0);
     }
-    ::close(go[0]);
+    ::close(release_pipe[0]);
     ::close(ready[1]);
-    go_ = go[1];
-    char c = 'n';
-    EXPECT_EQ(1, ::read(ready[0], &c, 1));
-    EXPECT_EQ('y', c);
+    release_fd_ = release_pipe[1];
+    char acquired = 'n';
+    EXPECT_EQ(1, ::read(ready[0], &acquired, 1));
+    EXPECT_EQ('y', acquired);
     ::close(ready[0]);
   }
-  ~LockHolder() { letGo(); }
+  ~LockHolder() { release(); }
   LockHolder(const LockHolder&) = delete;
   LockHolder& operator=(const LockHolder&) = delete;
-  void letGo() {
+  void release() {
     if (pid_ <= 0) {
       return;
     }
-    ::close(go_);
+    ::close(release_fd_);
     ::waitpid(pid_, nullptr, 0);
     pid_ = -1;
   }
 
  private:
   pid_t pid_ = -1;
-  int go_ = -1;
+  int release_fd_ = -1;
 };
 
-// The journal that the older process had left when it let go, with the times of today.
+// The journal as the predecessor had left it when it stepped down, with present times.
 void writeJournal(const std::string& folder, const std::vector<json>& messages) {
-  Journal j(folder, {3'000'000});
+  Journal journal(folder, {3'000'000});
   const Micros now = monotonicNow();
-  for (const json& m : messages) {
-    AcceptedMessage t;
-    t.id = m.at("message");
-    t.message_class = m.at("class");
-    t.idempotency_key = m.at("idempotency_key");
-    t.body = m.at("body");
-    t.destination = m.at("destination");
-    t.time_to_live = 100'000'000;
-    t.deadline = Deadline::after(now, t.time_to_live);
-    j.recordAccepted(t);
-    std::size_t n = 0;
-    for (const json& a : m.at("attempts")) {
-      j.recordAttempt(t.id, {a.at("endpoint"), now, false});
-      if (a.at("never_ran") == true) {
-        j.recordNeverRan(t.id, n);
+  for (const json& recorded : messages) {
+    AcceptedMessage message;
+    message.id = recorded.at("message");
+    message.message_class = recorded.at("class");
+    message.idempotency_key = recorded.at("idempotency_key");
+    message.body = recorded.at("body");
+    message.destination = recorded.at("destination");
+    message.time_to_live = 100'000'000;
+    message.deadline = Deadline::after(now, message.time_to_live);
+    journal.recordAccepted(message);
+    std::size_t index = 0;
+    for (const json& attempt : recorded.at("attempts")) {
+      journal.recordAttempt(message.id, {attempt.at("endpoint"), now, false});
+      if (attempt.at("never_ran") == true) {
+        journal.recordNeverRan(message.id, index);
       }
-      ++n;
+      ++index;
     }
   }
-  ASSERT_TRUE(j.flush());
+  ASSERT_TRUE(journal.flush());
 }
 
 std::map<std::string, JournalEntry> openIn(const std::string& folder) {
-  std::ifstream f(folder + "/journal", std::ios::binary);
-  return readJournal({std::istreambuf_iterator<char>(f), {}}, readClocks()).state.entries();
+  std::ifstream file(folder + "/journal", std::ios::binary);
+  return readJournal({std::istreambuf_iterator<char>(file), {}}, readClocks()).state.entries();
 }
 
-// ---- The recorded older process and a real newer one
+// ---- The recorded predecessor and a real successor
 
-class RecordedOlder : public testing::TestWithParam<bool> {};
+class RecordedPredecessor : public testing::TestWithParam<bool> {};
 
-TEST_P(RecordedOlder, HandsOverToARealNewerProcess) {
-  const bool early = GetParam();  // the calls end before the newer process has the journal
+TEST_P(RecordedPredecessor, HandsOverToARealSuccessor) {
+  const bool early = GetParam();  // the calls end before the successor has the journal
   const std::vector<json> messages = jsonLines("messages.jsonl");
-  const std::vector<std::string> lines = linesOf("older");
+  const std::vector<std::string> lines = linesOf(kPredecessorSide);
   ASSERT_FALSE(isAbsent(json::parse(lines.front()), "release"));
 
   TempFolder folder;
@@ -217,149 +221,157 @@
   Server endpoint(stayOut);
   std::map<std::string, json> by_id;
   std::map<std::string, json> endpoints;
-  for (const json& m : messages) {
-    by_id[m.at("message")] = m;
-    for (const json& a : m.at("attempts")) {
-      endpoints[a.at("endpoint")] = listed(a.at("endpoint"), endpoint.address(), m.at("destination"));
+  for (const json& message : messages) {
+    by_id[message.at("message")] = message;
+    for (const json& attempt : message.at("attempts")) {
+      const std::string name = attempt.at("endpoint");
+      endpoints[name] = listed(name, endpoint.address(), message.at("destination"));
     }
   }
   json known = json::array();
-  for (const auto& [name, e] : endpoints) {
-    known.push_back(e);
+  for (const auto& [name, entry] : endpoints) {
+    known.push_back(entry);
   }
 
   UnixSocket listener;
   listener.listen(scratch + "/handover");
   std::unique_ptr<UnixSocket> link;
-  std::vector<json> said;  // up to that it serves; of calls that ended before it may tell waits first
-  std::thread older([&] {
+  // The successor's lines up to `serving`; a Retry-After of calls that ended before may come first.
+  std::vector<json> successor_lines;
+  std::thread predecessor([&] {
     link = std::make_unique<UnixSocket>(listener.accept());
-    for (const std::string& l : lines) {
-      if (early || &l == &lines.front()) {
-        link->send(l);
+    for (const std::string& line : lines) {
+      if (early || &line == &lines.front()) {
+        link->send(line);
       }
     }
-    lock.letGo();
+    lock.release();
     do {
-      said.push_back(json::parse(link->line(), nullptr, false));
-    } while (said.back().is_object() && isAbsent(said.back(), "serving"));
+      successor_lines.push_back(json::parse(link->line(), nullptr, false));
+    } while (successor_lines.back().is_object() && isAbsent(successor_lines.back(), "serving"));
     if (!early) {
       for (std::size_t i = 1; i < lines.size(); ++i) {
         link->send(lines[i]);
       }
     }
   });
-  Program newer(folder.path(), agent.address(), known, 3,
-                settings(16000));  // as recorded; waits until it is ready
-  older.join();
-  EXPECT_EQ(R"({"serving":true})", said.back().dump());
+  // With the recorded objective; the constructor waits until the successor is ready.
+  Program successor(folder.path(), agent.address(), known, 3, settings(16000));
+  predecessor.join();
+  EXPECT_EQ(R"({"serving":true})", successor_lines.back().dump());
   if (!early) {
-    EXPECT_EQ(1u, said.size());
+    EXPECT_EQ(1u, successor_lines.size());
   }
-  EXPECT_EQ("OK ready", newer.operate("READY"));
+  EXPECT_EQ("OK ready", successor.operate("READY"));
 
-  // A told wait holds for the older one's calls, too, and is told to it.
-  std::set<std::pair<std::string, std::int64_t>> waits, told;
-  std::map<std::string, json> ends;
-  for (const std::string& l : lines) {
-    const json message = json::parse(l);
-    if (isAbsent(message, "outcome")) {
+  // A Retry-After holds for the predecessor's calls, too, and is reported to it.
+  std::set<std::pair<std::string, std::int64_t>> expected_holds, reported_holds;
+  std::map<std::string, json> final_outcomes;
+  for (const std::string& line : lines) {
+    const json parsed = json::parse(line);
+    if (isAbsent(parsed, "outcome")) {
       continue;
     }
-    const json& o = message.at("outcome");
-    const json& m = by_id.at(o.at("id"));
-    if (o.at("wait") > 0) {
-      waits.emplace(m.at("attempts").at(o.at("attempt").get<std::size_t>()).at("endpoint").get<std::string>(),
-                    m.at("destination").get<std::int64_t>());
+    const json& outcome = parsed.at("outcome");
+    const json& message = by_id.at(outcome.at("id"));
+    if (outcome.at("wait") > 0) {
+      const json& attempt = message.at("attempts").at(outcome.at("attempt").get<std::size_t>());
+      expected_holds.emplace(attempt.at("endpoint").get<std::string>(),
+                             message.at("destination").get<std::int64_t>());
     }
-    if (o.at("still_out") == false) {
-      ends[o.at("id")] = o;
+    if (outcome.at("still_out") == false) {
+      final_outcomes[outcome.at("id")] = outcome;
     }
   }
-  EXPECT_EQ(callsIn(json::parse(lines.front()).at("release")).size(), ends.size());
-  EXPECT_FALSE(waits.empty());
-  const auto hear = [&](const json& message) {
-    if (!isAbsent(message, "held") && !isAbsent(message, "destination")) {
-      told.emplace(message.at("held").get<std::string>(), message.at("destination").get<std::int64_t>());
+  EXPECT_EQ(callsIn(json::parse(lines.front()).at("release")).size(), final_outcomes.size());
+  EXPECT_FALSE(expected_holds.empty());
+  const auto note_hold = [&](const json& line) {
+    if (!isAbsent(line, "held") && !isAbsent(line, "destination")) {
+      reported_holds.emplace(line.at("held").get<std::string>(), line.at("destination").get<std::int64_t>());
     }
   };
-  for (const json& message : said) {
-    hear(message);
+  for (const json& line : successor_lines) {
+    note_hold(line);
   }
-  while (!std::includes(told.begin(), told.end(), waits.begin(), waits.end())) {
-    const std::string l = link->line();
-    ASSERT_FALSE(l.empty()) << "a wait is not told to the older process";
-    hear(json::parse(l));
+  while (!std::includes(reported_holds.begin(), reported_holds.end(), expected_holds.begin(),
+                        expected_holds.end())) {
+    const std::string line = link->line();
+    ASSERT_FALSE(line.empty()) << "a Retry-After is not reported to the predecessor";
+    note_hold(json::parse(line));
   }
 
-  // What is delivered is over, what must not run twice is given up, and what may is sent again.
-  std::set<std::string> again, given_up;
-  for (const auto& [id, o] : ends) {
-    if (o.at("finished") == true) {
+  // Delivered messages are complete; of the others, those that must not run twice are abandoned and the rest
+  // are retried.
+  const auto never_ran = [](int result) {
+    return result == kFull || result == kConnectFailed || result == kNotSent;
+  };
+  std::set<std::string> retried, abandoned;
+  for (const auto& [id, outcome] : final_outcomes) {
+    if (outcome.at("finished") == true) {
       continue;
     }
-    const int result = o.at("result");
-    const bool ran = result != kFull && result != kConnectFailed && result != kNotSent;
-    (ran && by_id.at(id).at("class") == "payment" ? given_up : again).insert(id);
+    const bool may_have_run = !never_ran(outcome.at("result").get<int>());
+    std::set<std::string>& ids = may_have_run && by_id.at(id).at("class") == "payment" ? abandoned : retried;
+    ids.insert(id);
   }
-  EXPECT_FALSE(given_up.empty() || again.empty());
-  for (const std::string& id : given_up) {
+  EXPECT_FALSE(abandoned.empty() || retried.empty());
+  for (const std::string& id : abandoned) {
     EXPECT_TRUE(agent.waitForNotice(id)) << id;
   }
-  const auto sent = [&] {
-    std::set<std::string> out;
-    for (const Seen& s : endpoint.seen()) {
-      out.insert(s.field("X-Txn"));
+  const auto sent_ids = [&] {
+    std::set<std::string> ids;
+    for (const Seen& request : endpoint.seen()) {
+      ids.insert(request.field("X-Txn"));
     }
-    return out;
+    return ids;
   };
-  EXPECT_TRUE(eventually([&] { return sent() == again; }))
-      << json(sent()).dump() << " not " << json(again).dump();
-  const auto written = [&] {
+  EXPECT_TRUE(eventually([&] { return sent_ids() == retried; }))
+      << json(sent_ids()).dump() << " not " << json(retried).dump();
+  const auto journal_is_complete = [&] {
     const auto open = openIn(folder.path());
     std::set<std::string> ids;
-    for (const auto& [id, e] : open) {
+    for (const auto& [id, entry] : open) {
       ids.insert(id);
-      if (e.notice_pending || e.attempts.size() < 2 || ends.count(id) == 0) {
+      if (entry.notice_pending || entry.attempts.size() < 2 || final_outcomes.count(id) == 0) {
         return false;
       }
-      const int result = ends.at(id).at("result");
-      const bool never = result == kFull || result == kConnectFailed || result == kNotSent;
-      if (e.attempts[0].never_ran != never) {
+      if (entry.attempts[0].never_ran != never_ran(final_outcomes.at(id).at("result").get<int>())) {
         return false;
       }
     }
-    return ids == again;
+    return ids == retried;
   };
-  EXPECT_TRUE(eventually(written)) << openIn(folder.path()).size() << " messages open";
+  EXPECT_TRUE(eventually(journal_is_complete)) << openIn(folder.path()).size() << " messages open";
 
-  link->close();  // the older one leaves
-  EXPECT_EQ("OK ready", newer.operate("READY"));
-  EXPECT_EQ(again, sent());
-  EXPECT_EQ(given_up.size(), agent.noticeCount()) << agent.allNotices();
+  link->close();  // the predecessor exits
+  EXPECT_EQ("OK ready", successor.operate("READY"));
+  EXPECT_EQ(retried, sent_ids());
+  EXPECT_EQ(abandoned.size(), agent.noticeCount()) << agent.allNotices();
 }
 
-INSTANTIATE_TEST_SUITE_P(All, RecordedOlder, testing::Bool(), [](const testing::TestParamInfo<bool>& early) {
-  return early.param ? "WithItsCallsEndingAtOnce" : "WithItsCallsEndingLater";
-});
+INSTANTIATE_TEST_SUITE_P(All, RecordedPredecessor, testing::Bool(),
+                         [](const testing::TestParamInfo<bool>& early) {
+                           return early.param ? "WithItsCallsEndingAtOnce" : "WithItsCallsEndingLater";
+                         });
 
-// ---- The recorded newer process and a real older one
+// ---- The recorded successor and a real predecessor
 
-// The answers of the recording; what hung there hangs until it is let.
-struct Gates {
-  void wait(bool& gate) {
-    std::unique_lock<std::mutex> l(mutex);
-    changed.wait_for(l, kLong, [&] { return gate; });
-  }
-  void let(bool& gate) {
-    std::lock_guard<std::mutex> l(mutex);
+// Gives the recorded responses, each once its gate has been opened; what hung in the recording has a gate of
+// its own.
+struct ResponseGates {
+  void waitUntilOpen(const bool& gate) {
+    std::unique_lock<std::mutex> lock(mutex);
+    changed.wait_for(lock, kLong, [&] { return gate; });
+  }
+  void open(bool& gate) {
+    std::lock_guard<std::mutex> lock(mutex);
     gate = true;
     changed.notify_all();
   }
-  Act act(const std::string& id) {
-    const bool last = id.rfind("hang-", 0) == 0 || id == "expires";
-    wait(last ? hanging : answering);
-    if (last) {
+  Act respond(const std::string& id) {
+    const bool hangs = id.rfind("hang-", 0) == 0 || id == "expires";
+    waitUntilOpen(hangs ? hanging : answering);
+    if (hangs) {
       return {answer("200 OK")};
     }
     if (id == "full") {
@@ -376,48 +388,51 @@
     }
     return {answer("200 OK", "X-Pressure: x0=0.4,x1=25\r\n")};
   }
-  struct Opener {  // at the end of a test that failed, too
+  // Opens both gates at the end of a test, also of one that failed.
+  struct Opener {
     ~Opener() {
-      gates.let(gates.answering);
-      gates.let(gates.hanging);
+      gates.open(gates.answering);
+      gates.open(gates.hanging);
     }
-    Gates& gates;
+    ResponseGates& gates;
   };
   std::mutex mutex;
   std::condition_variable changed;
   bool answering = false, hanging = false;
 };
 
-TEST(RecordedNewer, IsHandedOverToByARealOlderProcess) {
+TEST(RecordedSuccessor, TakesOverFromARealPredecessor) {
   const std::vector<json> messages = jsonLines("messages.jsonl");
-  std::vector<std::string> lines = linesOf("newer");
+  std::vector<std::string> lines = linesOf(kSuccessorSide);
   ASSERT_FALSE(isAbsent(json::parse(lines.front()), "serving"));
 
-  Gates gates;
-  Server endpoint([&](const Seen& s) { return gates.act(s.field("X-Txn")); });
-  const Gates::Opener opener{gates};
+  ResponseGates gates;
+  Server endpoint([&](const Seen& request) { return gates.respond(request.field("X-Txn")); });
+  const ResponseGates::Opener opener{gates};
   const StuckListener stuck;
   TempFolder folder;
   loopback::Agent agent;
-  const auto is_stuck = [](const json& m) {
-    return m.at("message").get<std::string>().rfind("stuck-", 0) == 0;
+  const auto is_stuck = [](const json& message) {
+    return message.at("message").get<std::string>().rfind("stuck-", 0) == 0;
   };
   std::map<std::string, json> endpoints;
-  for (const json& m : messages) {
-    const std::string name = m.at("attempts").at(0).at("endpoint");
-    endpoints[name] = listed(name, is_stuck(m) ? stuck.address() : endpoint.address(), m.at("destination"));
+  for (const json& message : messages) {
+    const std::string name = message.at("attempts").at(0).at("endpoint");
+    const std::string address = is_stuck(message) ? stuck.address() : endpoint.address();
+    endpoints[name] = listed(name, address, message.at("destination"));
   }
   json known = json::array();
-  for (const auto& [name, e] : endpoints) {
-    known.push_back(e);
+  for (const auto& [name, entry] : endpoints) {
+    known.push_back(entry);
   }
-  Program older(folder.path(), agent.address(), known, 3, settings(100000));  // nothing is overdue meanwhile
+  // An objective so long that nothing is overdue meanwhile.
+  Program predecessor(folder.path(), agent.address(), known, 3, settings(100000));
   std::size_t written = 0;
-  for (const json& m : messages) {
-    ASSERT_EQ(
-        "+OK",
-        Client(older.port()).put(m.at("message"), m.at("class"), m.at("destination"), m.at("body"), 100000));
-    written += !is_stuck(m);
+  for (const json& message : messages) {
+    Client client(predecessor.port());
+    ASSERT_EQ("+OK", client.put(message.at("message"), message.at("class"), message.at("destination"),
+                                message.at("body"), 100000));
+    written += !is_stuck(message);
   }
   ASSERT_TRUE(endpoint.waitFor(written));
 
@@ -426,79 +441,82 @@
   const json release = json::parse(link.line(), nullptr, false);
   OwnershipLock lock(folder.path());
   EXPECT_TRUE(eventually([&] { return lock.tryAcquire(); }));
-  link.send(lines.front());  // it serves
+  link.send(lines.front());  // `serving`
   ASSERT_TRUE(release.is_object() && !isAbsent(release, "release")) << release.dump();
-  const std::vector<std::string> recorded = linesOf("older");
+  const std::vector<std::string> recorded = linesOf(kPredecessorSide);
   EXPECT_EQ(callsIn(json::parse(recorded.front()).at("release")), callsIn(release.at("release")));
 
-  // Each as recorded but for how long it took. Nothing runs into its deadline here: that one is answered.
-  std::vector<json> expected, heard;
-  for (const std::string& l : recorded) {
-    json message = json::parse(l);
-    if (isAbsent(message, "outcome")) {
+  // Each as recorded except for its duration. Nothing reaches its deadline here: "expires" is answered.
+  std::vector<json> expected, received;
+  for (const std::string& line : recorded) {
+    json parsed = json::parse(line);
+    if (isAbsent(parsed, "outcome")) {
       continue;
     }
-    json& o = message.at("outcome");
-    EXPECT_EQ(o.at("id") == "expires", o.at("result") == kTimeout);
-    if (o.at("id") == "expires") {
-      o["result"] = 0, o["finished"] = true;
+    json& outcome = parsed.at("outcome");
+    EXPECT_EQ(outcome.at("id") == "expires", outcome.at("result") == kTimeout);
+    if (outcome.at("id") == "expires") {
+      outcome["result"] = 0;
+      outcome["finished"] = true;
     }
-    o.erase("rtt");
-    expected.push_back(message);
+    outcome.erase("rtt");
+    expected.push_back(parsed);
   }
-  const auto hear = [&](const std::string& id) {  // until an outcome of it has come; any, where none is named
+  // Reads outcomes until one of this message; without an id, one outcome of any.
+  const auto receive_outcome = [&](const std::string& id) {
     for (;;) {
-      const std::string l = link.line();
-      json message = json::parse(l, nullptr, false);
-      if (!message.is_object() || isAbsent(message, "outcome")) {
-        ADD_FAILURE() << "no outcome of " << id << ": " << l;
+      const std::string line = link.line();
+      json parsed = json::parse(line, nullptr, false);
+      if (!parsed.is_object() || isAbsent(parsed, "outcome")) {
+        ADD_FAILURE() << "no outcome of " << id << ": " << line;
         return false;
       }
-      json& o = message.at("outcome");
-      EXPECT_TRUE(o.at("rtt").is_number_integer());
-      EXPECT_EQ(o.at("still_out") == true, o.at("rtt") == 0) << l;
-      o.erase("rtt");
-      heard.push_back(message);
-      if (id.empty() || o.at("id") == id) {
+      json& outcome = parsed.at("outcome");
+      EXPECT_TRUE(outcome.at("rtt").is_number_integer());
+      EXPECT_EQ(outcome.at("still_out") == true, outcome.at("rtt") == 0) << line;
+      outcome.erase("rtt");
+      received.push_back(parsed);
+      if (id.empty() || outcome.at("id") == id) {
         return true;
       }
     }
   };
-  const auto is_cancel = [](const std::string& l) { return !isAbsent(json::parse(l), "cancel"); };
+  const auto is_cancel = [](const std::string& line) { return !isAbsent(json::parse(line), "cancel"); };
   const auto send_all = [&](bool cancels) {
-    std::size_t n = 0;
-    for (const std::string& l : lines) {
-      if (&l != &lines.front() && is_cancel(l) == cancels) {
-        link.send(l), ++n;
+    std::size_t count = 0;
+    for (const std::string& line : lines) {
+      if (&line != &lines.front() && is_cancel(line) == cancels) {
+        link.send(line);
+        ++count;
       }
     }
-    EXPECT_GT(n, 0u);
+    EXPECT_GT(count, 0u);
   };
-  const auto was_heard = [&](const std::string& id) {
-    return std::any_of(heard.begin(), heard.end(),
-                       [&](const json& h) { return h.at("outcome").at("id") == id; });
+  const auto was_received = [&](const std::string& id) {
+    return std::any_of(received.begin(), received.end(),
+                       [&](const json& each) { return each.at("outcome").at("id") == id; });
   };
-  send_all(false);  // drains and told waits: what is not written yet goes back
+  send_all(false);  // drains and Retry-Afters: calls that are not written yet are returned
   for (const char* id : {"stuck-drain", "stuck-wait"}) {
-    ASSERT_TRUE(was_heard(id) || hear(id));
+    ASSERT_TRUE(was_received(id) || receive_outcome(id));
   }
-  EXPECT_EQ(2u, heard.size());
-  gates.let(gates.answering);
+  EXPECT_EQ(2u, received.size());
+  gates.open(gates.answering);
   for (const char* id : {"done", "full", "error", "reset", "half"}) {
-    ASSERT_TRUE(was_heard(id) || hear(id));
+    ASSERT_TRUE(was_received(id) || receive_outcome(id));
   }
-  EXPECT_EQ(7u, heard.size());
+  EXPECT_EQ(7u, received.size());
   send_all(true);
-  ASSERT_TRUE(hear("half"));
-  ASSERT_TRUE(was_heard("hang-1") || hear("hang-1"));
-  EXPECT_EQ(9u, heard.size());
-  gates.let(gates.hanging);
-  while (heard.size() < expected.size() && hear("")) {
+  ASSERT_TRUE(receive_outcome("half"));
+  ASSERT_TRUE(was_received("hang-1") || receive_outcome("hang-1"));
+  EXPECT_EQ(9u, received.size());
+  gates.open(gates.hanging);
+  while (received.size() < expected.size() && receive_outcome("")) {
   }
   std::sort(expected.begin(), expected.end());
-  std::sort(heard.begin(), heard.end());
-  EXPECT_EQ(json(expected).dump(1), json(heard).dump(1));
-  const int status = older.wait();  // with nothing left to do it leaves
+  std::sort(received.begin(), received.end());
+  EXPECT_EQ(json(expected).dump(1), json(received).dump(1));
+  const int status = predecessor.wait();  // it exits as it has nothing left to do
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
   EXPECT_EQ("", link.line());
 }
--- a/tests/support/journal_dump.h
+++ b/tests/support/journal_dump.h
@@ -1,5 +1,5 @@
-// What a journal tells, as plain text, one fact a line. The words are those of the recorded .expected files
-// in tests/data/journal and must not follow the names in the code.
+// The content of a journal as plain text, one fact a line. The words are those of the recorded .expected
+// files in tests/data/journal and must not follow the names in the code.
 #pragma once
 
 #include <algorithm>
@@ -11,105 +11,108 @@
 
 namespace delivery::journal_dump {
 
-inline std::string quoted(const std::string& s) {
+inline std::string quoted(const std::string& text) {
   constexpr char kHex[] = "0123456789abcdef";
   std::string out = "\"";
-  for (const char c : s) {
-    const auto u = static_cast<unsigned char>(c);
-    if (u < 0x20 || u > 0x7e || c == '"' || c == '\\') {
+  for (const char character : text) {
+    const auto byte = static_cast<unsigned char>(character);
+    if (byte < 0x20 || byte > 0x7e || character == '"' || character == '\\') {
       out += "\\x";
-      out += kHex[u >> 4];
-      out += kHex[u & 15];
+      out += kHex[byte >> 4];
+      out += kHex[byte & 15];
     } else {
-      out += c;
+      out += character;
     }
   }
   return out + "\"";
 }
-inline const char* yesNo(bool b) {
-  return b ? "yes" : "no";
+inline const char* yesNo(bool value) {
+  return value ? "yes" : "no";
 }
 
-// What is still open, in the order in which it was taken on; the last list and the health records.
+// The messages that are still open, in the order of their acceptance; the last endpoint list and the health
+// records.
 inline std::string openText(std::vector<JournalEntry> entries, const std::string& list,
                             const std::vector<HealthRecord>& health) {
   std::ostringstream out;
-  std::sort(entries.begin(), entries.end(),
-            [](const auto& a, const auto& b) { return a.acceptance_order < b.acceptance_order; });
+  std::sort(entries.begin(), entries.end(), [](const JournalEntry& left, const JournalEntry& right) {
+    return left.acceptance_order < right.acceptance_order;
+  });
   out << "accepted messages still open: " << entries.size() << '\n';
-  for (const JournalEntry& e : entries) {
-    const std::string m = "message " + quoted(e.message.id) + " ";
-    out << m << "class: " << quoted(e.message.message_class) << '\n'
-        << m << "tenant: " << quoted(e.message.tenant) << '\n'
-        << m << "order key: " << quoted(e.message.order_key) << '\n'
-        << m << "idempotency key: " << quoted(e.message.idempotency_key) << '\n'
-        << m << "body: " << quoted(e.message.body) << '\n'
-        << m << "destination: " << e.message.destination << '\n'
-        << m << "deadline, monotonic us: " << e.message.deadline.at() << '\n'
-        << m << "time it had in all, us: " << e.message.time_to_live << '\n'
-        << m << "repeat: " << yesNo(e.message.is_retry) << '\n'
-        << m << "attempts: " << e.attempts.size() << '\n';
-    for (std::size_t i = 0; i < e.attempts.size(); ++i) {
-      out << m << "attempt " << i << ": endpoint " << quoted(e.attempts[i].endpoint)
-          << ", sent at monotonic us " << e.attempts[i].sent_at
-          << ", never ran: " << yesNo(e.attempts[i].never_ran) << '\n';
+  for (const JournalEntry& entry : entries) {
+    const AcceptedMessage& message = entry.message;
+    const std::string prefix = "message " + quoted(message.id) + " ";
+    out << prefix << "class: " << quoted(message.message_class) << '\n'
+        << prefix << "tenant: " << quoted(message.tenant) << '\n'
+        << prefix << "order key: " << quoted(message.order_key) << '\n'
+        << prefix << "idempotency key: " << quoted(message.idempotency_key) << '\n'
+        << prefix << "body: " << quoted(message.body) << '\n'
+        << prefix << "destination: " << message.destination << '\n'
+        << prefix << "deadline, monotonic us: " << message.deadline.at() << '\n'
+        << prefix << "time it had in all, us: " << message.time_to_live << '\n'
+        << prefix << "repeat: " << yesNo(message.is_retry) << '\n'
+        << prefix << "attempts: " << entry.attempts.size() << '\n';
+    for (std::size_t i = 0; i < entry.attempts.size(); ++i) {
+      out << prefix << "attempt " << i << ": endpoint " << quoted(entry.attempts[i].endpoint)
+          << ", sent at monotonic us " << entry.attempts[i].sent_at
+          << ", never ran: " << yesNo(entry.attempts[i].never_ran) << '\n';
     }
-    out << m << "notification owed: ";
-    if (!e.notice_pending) {
+    out << prefix << "notification owed: ";
+    if (!entry.notice_pending) {
       out << "none\n";
     } else {
-      out << (e.notice.returned ? "handed back" : "given up") << ", retry in ms " << e.notice.retry_after_ms
-          << '\n';
+      out << (entry.notice.returned ? "handed back" : "given up") << ", retry in ms "
+          << entry.notice.retry_after_ms << '\n';
     }
   }
   out << "endpoint list: " << (list.empty() ? "none" : quoted(list)) << '\n';
   out << "health records: " << health.size() << '\n';
-  for (const HealthRecord& a : health) {
-    out << "health record of destination " << a.destination << " endpoint " << quoted(a.endpoint)
-        << ": down: " << yesNo(a.ejected) << ", cold since monotonic us " << a.warming_since
-        << ", wait until monotonic us " << a.retry_after_until << '\n';
+  for (const HealthRecord& record : health) {
+    out << "health record of destination " << record.destination << " endpoint " << quoted(record.endpoint)
+        << ": down: " << yesNo(record.ejected) << ", cold since monotonic us " << record.warming_since
+        << ", wait until monotonic us " << record.retry_after_until << '\n';
   }
   return out.str();
 }
 
-inline std::string openText(const RecoveredJournal& r) {
+inline std::string openText(const RecoveredJournal& recovered) {
   std::vector<JournalEntry> entries;
   std::vector<HealthRecord> health;
-  for (const auto& [id, e] : r.state.entries()) {
-    entries.push_back(e);
+  for (const auto& [id, entry] : recovered.state.entries()) {
+    entries.push_back(entry);
   }
-  for (const auto& [key, a] : r.state.healthRecords()) {
-    health.push_back(a);
+  for (const auto& [key, record] : recovered.state.healthRecords()) {
+    health.push_back(record);
   }
-  return openText(entries, r.state.endpointList(), health);
+  return openText(entries, recovered.state.endpointList(), health);
 }
 
-inline std::string fileText(const RecoveredJournal& r) {
+inline std::string fileText(const RecoveredJournal& recovered) {
   std::ostringstream out;
-  out << "records: " << r.scan.records.size() << '\n';
-  for (const auto& record : r.scan.records) {
+  out << "records: " << recovered.scan.records.size() << '\n';
+  for (const auto& record : recovered.scan.records) {
     out << "record number " << record.sequence_number << ": format version " << record.version << ", type "
         << quoted(std::string(1, record.payload[0])) << ", bytes " << record.payload.size() << '\n';
   }
-  out << "damaged ranges: " << r.scan.damaged_ranges.size() << '\n';
-  for (const ByteRange& range : r.scan.damaged_ranges) {
+  out << "damaged ranges: " << recovered.scan.damaged_ranges.size() << '\n';
+  for (const ByteRange& range : recovered.scan.damaged_ranges) {
     out << "damaged range: bytes " << range.begin << " to " << range.end << '\n';
   }
-  out << "gaps in the numbers: " << r.gaps << '\n'
-      << "unreadable records: " << r.unreadable_records << '\n'
-      << "contradictory records: " << r.contradictory_records << '\n'
-      << "repeated records: " << r.scan.duplicate_records << '\n'
-      << "torn tail: " << yesNo(r.scan.torn_write) << '\n'
-      << "damaged tail: " << yesNo(r.scan.damaged_tail) << '\n'
-      << "end of the last sound record: " << r.scan.sound_end << '\n'
-      << "counts as damaged: " << yesNo(r.damaged()) << '\n'
-      << "power cut: " << yesNo(r.power_cut) << '\n'
-      << "monotonic clock goes on: " << yesNo(r.clock_continues) << '\n'
-      << "clock shift used, us: " << r.clock.shift() << '\n'
-      << "next record number: " << r.next_sequence_number << '\n'
-      << "file head: version " << r.header.version << ", durable: " << yesNo(r.header.durable)
-      << ", clock shift us " << r.header.clock_shift << ", written at disk us " << r.header.written_at
-      << ", boot " << quoted(r.header.boot) << '\n';
+  out << "gaps in the numbers: " << recovered.gaps << '\n'
+      << "unreadable records: " << recovered.unreadable_records << '\n'
+      << "contradictory records: " << recovered.contradictory_records << '\n'
+      << "repeated records: " << recovered.scan.duplicate_records << '\n'
+      << "torn tail: " << yesNo(recovered.scan.torn_write) << '\n'
+      << "damaged tail: " << yesNo(recovered.scan.damaged_tail) << '\n'
+      << "end of the last sound record: " << recovered.scan.sound_end << '\n'
+      << "counts as damaged: " << yesNo(recovered.damaged()) << '\n'
+      << "power cut: " << yesNo(recovered.power_cut) << '\n'
+      << "monotonic clock goes on: " << yesNo(recovered.clock_continues) << '\n'
+      << "clock shift used, us: " << recovered.clock.shift() << '\n'
+      << "next record number: " << recovered.next_sequence_number << '\n'
+      << "file head: version " << recovered.header.version << ", durable: " << yesNo(recovered.header.durable)
+      << ", clock shift us " << recovered.header.clock_shift << ", written at disk us "
+      << recovered.header.written_at << ", boot " << quoted(recovered.header.boot) << '\n';
   return out.str();
 }
 
