--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -50,14 +50,14 @@
 };
 
 const std::string kSubmitRequest =
-    loopback::Client::request({"MSG.PUT", "0", "m", "c=order,d=8000,dest=7", "x"});
+    loopback::SenderClient::request({"MSG.PUT", "0", "m", "c=order,d=8000,dest=7", "x"});
 
 // The table is full, so a connection waits in the kernel's queue, with what its client sends.
 TEST(ClientServer, ATimeToLiveCountsFromWhenTheMessageWasSentNotRead) {
   TestServer test(1);
-  auto first = std::make_unique<loopback::Client>(test.port);
+  auto first = std::make_unique<loopback::SenderClient>(test.port);
   test.runUntil([&] { return test.server->connectionCount() == 1; });
-  loopback::Client second(test.port);
+  loopback::SenderClient second(test.port);
   test.io.run_one();  // it is seen, and there is no capacity for it
   ASSERT_EQ(1u, test.server->connectionCount());
   second.send(kSubmitRequest);
@@ -72,7 +72,7 @@
 // timer, due just before, sends it, and both fire in one turn of the loop.
 TEST(ClientServer, ARequestInTheSocketAtTheDeadlineIsAnswered) {
   TestServer test(2);
-  loopback::Client client(test.port);
+  loopback::SenderClient client(test.port);
   test.runUntil([&] { return test.server->connectionCount() == 1; });
   test.io.poll();
   const Micros deadline = test.admission.nextDeadline();
@@ -90,7 +90,7 @@
 // A drain starts while a complete request is in the socket: it is answered, then the connection is closed.
 TEST(ClientServer, ARequestInTheSocketAtTheStartOfADrainIsAnswered) {
   TestServer test(2);
-  loopback::Client client(test.port);
+  loopback::SenderClient client(test.port);
   test.runUntil([&] { return test.server->connectionCount() == 1; });
   test.io.poll();
   client.send(kSubmitRequest);
@@ -105,11 +105,12 @@
 // next connection.
 TEST(ClientServer, ARequestInTheSocketOfAnEvictionCandidateIsAnswered) {
   TestServer test(1);
-  loopback::Client first(test.port);
+  loopback::SenderClient first(test.port);
   test.runUntil([&] { return test.server->connectionCount() == 1; });
   test.io.poll();
   const Micros silent_from = monotonicNow();
-  loopback::Client next(test.port);  // seen when the event loop runs next, before what the first sends now
+  loopback::SenderClient next(
+      test.port);  // seen when the event loop runs next, before what the first sends now
   while (monotonicNow() < silent_from + 50 * kMs) {
   }  // busy: the event loop does not run
   first.send(kSubmitRequest);
@@ -121,7 +122,7 @@
 // New limits allow fewer connections than there are, and a request is in the socket of an idle one.
 TEST(ClientServer, ARequestInTheSocketWhenLimitsAreHalvedIsAnswered) {
   TestServer test(2);
-  loopback::Client idle(test.port), other(test.port);
+  loopback::SenderClient idle(test.port), other(test.port);
   test.runUntil([&] { return test.server->connectionCount() == 2; });
   test.io.poll();
   const Micros silent_from = monotonicNow();
@@ -140,7 +141,7 @@
 // closed.
 TEST(ClientServer, TheSecondOfTwoPipelinedRequestsIsAnsweredInADrain) {
   TestServer test(2);
-  loopback::Client client(test.port);
+  loopback::SenderClient client(test.port);
   test.runUntil([&] { return test.server->connectionCount() == 1; });
   client.send(kSubmitRequest + kSubmitRequest);
   test.runUntil([&] { return test.submitted.has_value(); });  // carried out, its answer on the way
--- a/tests/network/descriptor_limit_test.cpp
+++ b/tests/network/descriptor_limit_test.cpp
@@ -15,11 +15,11 @@
   return changed;
 }
 
-std::vector<std::unique_ptr<Client>> crowd(int port, int size, const char* from = nullptr) {
-  std::vector<std::unique_ptr<Client>> all;
+std::vector<std::unique_ptr<SenderClient>> crowd(int port, int size, const char* from = nullptr) {
+  std::vector<std::unique_ptr<SenderClient>> all;
   all.reserve(static_cast<std::size_t>(size));
   for (int i = 0; i < size; ++i) {
-    all.push_back(std::make_unique<Client>(port, from));
+    all.push_back(std::make_unique<SenderClient>(port, from));
   }
   return all;
 }
@@ -37,50 +37,51 @@
   void run() {
     while (!stop_) {
       for (auto& client : all_) {
-        client->send(Client::request({"PING"}));
+        client->send(SenderClient::request({"PING"}));
         client->discard();
       }
       std::this_thread::sleep_for(20ms);
     }
   }
-  std::vector<std::unique_ptr<Client>> all_;
+  std::vector<std::unique_ptr<SenderClient>> all_;
   std::atomic<bool> stop_{false};
   std::thread thread_;
 };
 
 // Such peers are never idle for long and never submit a message: a client that connects after them is served.
 TEST(ConnectionsProgram, ACrowdThatPingsOnAndOnMakesRoomForAClient) {
-  Fleet setup(deliver);
+  SenderSetup setup(respondOk);
   const Pingers pingers(setup.program.port(), 800);
-  Client behind(setup.program.port());
-  EXPECT_EQ("+OK", behind.put("fine", "order", 7));
+  SenderClient behind(setup.program.port());
+  EXPECT_EQ("+OK", behind.submit("fine", "order", 7));
 }
 
 // Many peers at another address send complete requests all the while, so none of them is idle for long: one
 // of their connections is closed to make room, and a client with few connections, idle for longer, keeps
 // them.
 TEST(ConnectionsProgram, ACrowdAtOneAddressMakesRoomBeforeAClientAtAnother) {
-  Fleet setup(deliver);
-  Client resting(setup.program.port());
-  ASSERT_EQ("+OK", resting.put("first", "order", 7));
+  SenderSetup setup(respondOk);
+  SenderClient resting(setup.program.port());
+  ASSERT_EQ("+OK", resting.submit("first", "order", 7));
   auto many = crowd(setup.program.port(), 740, "127.0.0.2");
   for (std::size_t i = 0; i < many.size(); ++i) {
-    many[i]->send(Client::request({"MSG.PUT", "0", "x" + std::to_string(i), "c=order,d=5000,dest=7", "x"}));
+    many[i]->send(
+        SenderClient::request({"MSG.PUT", "0", "x" + std::to_string(i), "c=order,d=5000,dest=7", "x"}));
   }
-  Client behind(setup.program.port());
-  EXPECT_NE("", behind.put("second", "order", 7));  // accepted, or rejected by a full sender
-  EXPECT_NE("", resting.put("third", "order", 7));
+  SenderClient behind(setup.program.port());
+  EXPECT_NE("", behind.submit("second", "order", 7));  // accepted, or rejected by a full sender
+  EXPECT_NE("", resting.submit("third", "order", 7));
 }
 
 // Unread replies fill the socket; from then on nothing more of that peer is read, and it is closed.
 TEST(ConnectionsProgram, APeerThatNeverReadsItsAnswersIsClosed) {
-  Fleet setup(deliver);
-  Client greedy(setup.program.port());
+  SenderSetup setup(respondOk);
+  SenderClient greedy(setup.program.port());
   std::atomic<bool> stop{false};
   std::thread sends([&] {
     std::string pings;
     for (int i = 0; i < 1000; ++i) {
-      pings += Client::request({"PING"});
+      pings += SenderClient::request({"PING"});
     }
     while (!stop && greedy.sendSome(pings)) {
     }
@@ -89,14 +90,14 @@
   EXPECT_TRUE(eventually([&] { return stop.load(); })) << "its requests are still being read";
   stop = true;
   sends.join();
-  Client client(setup.program.port());
-  EXPECT_EQ("+OK", client.put("fine", "order", 7));
+  SenderClient client(setup.program.port());
+  EXPECT_EQ("+OK", client.submit("fine", "order", 7));
 }
 
 // A peer that sends 60 MB that are no request gets an error line or its connection is closed.
 TEST(ConnectionsProgram, SixtyMegabytesOfNonsenseEndInAnErrorOrAClose) {
-  Fleet setup(deliver);
-  Client big(setup.program.port());
+  SenderSetup setup(respondOk);
+  SenderClient big(setup.program.port());
   const std::string piece(1'000'000, 'x');
   big.send("*1\r\n$60000000\r\n");
   for (int i = 0; i < 60; ++i) {
@@ -105,8 +106,8 @@
     }
   }
   EXPECT_TRUE(big.closed());
-  Client client(setup.program.port());
-  EXPECT_EQ("+OK", client.put("fine", "order", 7));
+  SenderClient client(setup.program.port());
+  EXPECT_EQ("+OK", client.submit("fine", "order", 7));
 }
 
 // The machine allows fewer descriptors than the configuration says: a waiting client is accepted all the
@@ -114,20 +115,20 @@
 // one (README).
 TEST(ConnectionsProgram, RunningOutOfDescriptorsMakesRoomToo) {
   TempFolder folder;
-  loopback::Agent agent;
-  Server endpoint(deliver);
-  json settings = plainSettings();
+  DiscoveryServer discovery;
+  HttpServer endpoint(respondOk);
+  json settings = testSettings();
   settings["Ceilings"]["ConnIdleMs"] = 600000.0;
-  Program program(folder.path(), agent.address(), json::array({listed("e1", endpoint.address(), 7)}), 3,
-                  settings);
-  Client first(program.port());
-  ASSERT_EQ("+OK", first.put("first", "order", 7));
-  ASSERT_TRUE(endpoint.waitFor(1));
-  program.limitDescriptors(program.descriptors() + 20);
+  SenderProgram program(folder.path(), discovery.address(),
+                        json::array({endpointEntry("e1", endpoint.address(), 7)}), 3, settings);
+  SenderClient first(program.port());
+  ASSERT_EQ("+OK", first.submit("first", "order", 7));
+  ASSERT_TRUE(endpoint.waitForRequests(1));
+  program.limitDescriptors(program.openDescriptors() + 20);
   const Pingers pingers(program.port(), 60);
-  Client behind(program.port());
-  EXPECT_EQ("+OK", behind.put("second", "order", 7));
-  ASSERT_TRUE(endpoint.waitFor(2));
+  SenderClient behind(program.port());
+  EXPECT_EQ("+OK", behind.submit("second", "order", 7));
+  ASSERT_TRUE(endpoint.waitForRequests(2));
 }
 
 // Limits are halved while the table holds more connections than the new ones allow: idle connections are
@@ -136,24 +137,24 @@
 // busy machine; and each message has arrived there before the next is submitted, so that none meets a full
 // queue.
 TEST(ConnectionsProgram, HalvedLimitsShrinkAFullTable) {
-  Fleet setup([](const Seen& request) {
+  SenderSetup setup([](const ReceivedRequest& request) {
     std::this_thread::sleep_for(20ms);
-    return deliver(request);
+    return respondOk(request);
   });
-  std::vector<std::unique_ptr<Client>> clients;
+  std::vector<std::unique_ptr<SenderClient>> clients;
   for (int i = 0; i < 300; ++i) {
-    clients.push_back(std::make_unique<Client>(setup.program.port()));
-    ASSERT_EQ("+OK", clients.back()->put("m" + std::to_string(i), "order", 7));
-    ASSERT_TRUE(setup.endpoint.waitFor(static_cast<std::size_t>(i) + 1));
+    clients.push_back(std::make_unique<SenderClient>(setup.program.port()));
+    ASSERT_EQ("+OK", clients.back()->submit("m" + std::to_string(i), "order", 7));
+    ASSERT_TRUE(setup.endpoint.waitForRequests(static_cast<std::size_t>(i) + 1));
   }
-  EXPECT_GT(setup.program.descriptors(), 300u);
+  EXPECT_GT(setup.program.openDescriptors(), 300u);
   setup.program.reloadLimits(limits(10));
   setup.program.reloadLimits({{"sockets", "many"}});
   setup.program.reloadLimits(limits(200));
-  EXPECT_TRUE(eventually([&] { return setup.program.descriptors() < 150; }));
-  Client client(setup.program.port());
-  EXPECT_EQ("+OK", client.put("fine", "order", 7));
-  EXPECT_EQ("OK ready", setup.program.operate("READY"));
+  EXPECT_TRUE(eventually([&] { return setup.program.openDescriptors() < 150; }));
+  SenderClient client(setup.program.port());
+  EXPECT_EQ("+OK", client.submit("fine", "order", 7));
+  EXPECT_EQ("OK ready", setup.program.command("READY"));
 }
 
 TEST(ConnectionsProgram, LimitsThatCannotHoldTheReservesStopAStart) {
@@ -162,10 +163,10 @@
   const json config{{"listen", "127.0.0.1:0"},
                     {"discovery", "127.0.0.1:1"},
                     {"limits", limits(63)},
-                    {"settings", plainSettings()}};
+                    {"settings", testSettings()}};
   std::ofstream(path) << config.dump();
   int status = 0;
-  ASSERT_GT(::waitpid(Program::spawn(path, folder.path()), &status, 0), 0);
+  ASSERT_GT(::waitpid(SenderProgram::spawn(path, folder.path()), &status, 0), 0);
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 2);
 }
 
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -8,10 +8,10 @@
 namespace delivery {
 namespace {
 
-using loopback::Act;
-using loopback::answer;
-using loopback::Seen;
-using loopback::Server;
+using loopback::httpResponse;
+using loopback::HttpServer;
+using loopback::ReceivedRequest;
+using loopback::ServerAction;
 
 Deadline within(Micros span) {
   return Deadline::after(monotonicNow(), span);
@@ -42,7 +42,7 @@
     return waitFor(before + 1);
   }
   AttemptOutcome waitFor(std::size_t count) {
-    const auto until = std::chrono::steady_clock::now() + loopback::kLong;
+    const auto until = std::chrono::steady_clock::now() + loopback::kWaitLimit;
     while (outcomes.size() < count && std::chrono::steady_clock::now() < until) {
       io.restart();
       io.run_one_for(std::chrono::seconds(1));
@@ -79,8 +79,8 @@
   std::vector<int> fillers;
 };
 
-AttemptOutcome outcomeOf(const Act& act, Micros timeout = 60'000'000) {
-  Server server([&](const Seen&) { return act; });
+AttemptOutcome outcomeOf(const ServerAction& action, Micros timeout = 60'000'000) {
+  HttpServer server([&](const ReceivedRequest&) { return action; });
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
   return pool.call("m", timeout);
@@ -96,7 +96,7 @@
 
 struct Row {
   const char* name;
-  Act act;
+  ServerAction action;
   AttemptResult result;
   bool finished;
   Micros retry_after;
@@ -107,7 +107,7 @@
 
 TEST_P(Outcomes, AreThoseOfTheTable) {
   const Row& row = GetParam();
-  const AttemptOutcome outcome = outcomeOf(row.act);
+  const AttemptOutcome outcome = outcomeOf(row.action);
   EXPECT_EQ(row.result, outcome.result);
   EXPECT_EQ(row.finished, outcome.finished);
   EXPECT_EQ(row.retry_after, outcome.retry_after);
@@ -116,32 +116,32 @@
 INSTANTIATE_TEST_SUITE_P(
     Table, Outcomes,
     ::testing::Values(
-        Row{"delivered", {answer("200 OK", "", "fine")}, AttemptResult::ok, true, 0},
+        Row{"delivered", {httpResponse("200 OK", "", "fine")}, AttemptResult::ok, true, 0},
         Row{"delivered_body_lost",
             {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", true},
             AttemptResult::ok,
             true,
             0},
-        Row{"error", {answer("500 Oops")}, AttemptResult::error, false, 0},
+        Row{"error", {httpResponse("500 Oops")}, AttemptResult::error, false, 0},
         Row{"retry_after",
-            {answer("429 Slow", "Retry-After: 0.25\r\n")},
+            {httpResponse("429 Slow", "Retry-After: 0.25\r\n")},
             AttemptResult::throttled,
             false,
             250'000},
         Row{"malformed_retry_after",
-            {answer("429 Slow", "Retry-After: soon\r\n")},
+            {httpResponse("429 Slow", "Retry-After: soon\r\n")},
             AttemptResult::throttled,
             false,
             0},
-        Row{"rejected", {answer("503 Full")}, AttemptResult::throttled, false, 0},
+        Row{"rejected", {httpResponse("503 Full")}, AttemptResult::throttled, false, 0},
         Row{"no_egress_slot",
-            {answer("503 Full", "X-Egress-Full: 1\r\n")},
+            {httpResponse("503 Full", "X-Egress-Full: 1\r\n")},
             AttemptResult::not_sent,
             false,
             0},
-        Row{"time_used_up", {answer("504 Used")}, AttemptResult::not_sent, false, 0},
-        Row{"gone", {answer("410 Gone")}, AttemptResult::not_sent, true, 0},
-        Row{"unknown_status", {answer("418 Tea")}, AttemptResult::error, false, 0},
+        Row{"time_used_up", {httpResponse("504 Used")}, AttemptResult::not_sent, false, 0},
+        Row{"gone", {httpResponse("410 Gone")}, AttemptResult::not_sent, true, 0},
+        Row{"unknown_status", {httpResponse("418 Tea")}, AttemptResult::error, false, 0},
         Row{"garbled", {"no http at all\r\n\r\n", true}, AttemptResult::reset, false, 0},
         Row{"ended", {"", true}, AttemptResult::reset, false, 0},
         Row{"reset", {"", false, true}, AttemptResult::reset, false, 0},
@@ -162,21 +162,21 @@
             0},
         Row{"hints_then_rejected",
             {"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" +
-             answer("429 Full", "Retry-After: 0.5\r\n")},
+             httpResponse("429 Full", "Retry-After: 0.5\r\n")},
             AttemptResult::throttled,
             false,
             500000},
         Row{"hints_then_delivered",
-            {"HTTP/1.1 103 Early Hints\r\n\r\n" + answer("200 OK")},
+            {"HTTP/1.1 103 Early Hints\r\n\r\n" + httpResponse("200 OK")},
             AttemptResult::ok,
             true,
             0},
-        Row{"hints_without_end", {hints(40) + answer("200 OK")}, AttemptResult::error, false, 0},
+        Row{"hints_without_end", {hints(40) + httpResponse("200 OK")}, AttemptResult::error, false, 0},
         Row{"half_a_head", {"HTTP/1.1 200", true}, AttemptResult::reset, false, 0}),
     [](const auto& i) { return std::string(i.param.name); });
 
 TEST(EndpointPool, SilenceEndsInATimeoutAndClosesTheConnection) {
-  Server server([](const Seen&) { return Act{}; });
+  HttpServer server([](const ReceivedRequest&) { return ServerAction{}; });
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
   const AttemptOutcome outcome = pool.call("m", 200'000);
@@ -195,41 +195,45 @@
 
 // A call is written completely and once: id, key and body unchanged, and how long the sender will wait.
 TEST(EndpointPool, ACallCarriesTheMessageUnchanged) {
-  Server server([](const Seen&) { return Act{answer("200 OK", "X-Pressure: x0=0.4,x1=25\r\n")}; });
+  HttpServer server([](const ReceivedRequest&) {
+    return ServerAction{httpResponse("200 OK", "X-Pressure: x0=0.4,x1=25\r\n")};
+  });
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
   const AttemptOutcome outcome = pool.call("9b1f03aa5c7e2d41", 1'500'000);
-  ASSERT_EQ(1u, server.seen().size());
-  const Seen seen = server.seen()[0];
-  EXPECT_EQ(0u, seen.head.find("POST /hook HTTP/1.1\r\n"));
-  EXPECT_EQ("9b1f03aa5c7e2d41", seen.field("X-Txn"));
-  EXPECT_EQ("5c0f6e1a2b3d4c59", seen.field("Idempotency-Key"));
-  const int left = std::stoi(seen.field("X-Remaining-Ms"));  // less what passed until it was written
+  ASSERT_EQ(1u, server.requests().size());
+  const ReceivedRequest request = server.requests()[0];
+  EXPECT_EQ(0u, request.head.find("POST /hook HTTP/1.1\r\n"));
+  EXPECT_EQ("9b1f03aa5c7e2d41", request.field("X-Txn"));
+  EXPECT_EQ("5c0f6e1a2b3d4c59", request.field("Idempotency-Key"));
+  const int left = std::stoi(request.field("X-Remaining-Ms"));  // less what passed until it was written
   EXPECT_GT(left, 0);
   EXPECT_LE(left, 1500);
-  EXPECT_EQ(pool.message("").body, seen.body);
+  EXPECT_EQ(pool.message("").body, request.body);
   ASSERT_TRUE(outcome.load_report);
   EXPECT_DOUBLE_EQ(0.4, outcome.load_report->remaining_share);
   EXPECT_DOUBLE_EQ(25, outcome.load_report->limit_per_second);
 }
 
 TEST(EndpointPool, ConnectionsAreReusedAndClosedOnDemand) {
-  Server server([](const Seen&) { return Act{answer("200 OK")}; });
+  HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
   pool.call("a");
   pool.call("b");
-  EXPECT_EQ(server.seen()[0].connection, server.seen()[1].connection);
+  EXPECT_EQ(server.requests()[0].connection, server.requests()[1].connection);
   pool.endpoints.closeIdle("e");
   EXPECT_EQ(0u, pool.endpoints.idleCount());
   pool.call("c");
-  EXPECT_NE(server.seen()[1].connection, server.seen()[2].connection);
+  EXPECT_NE(server.requests()[1].connection, server.requests()[2].connection);
 }
 
 // A request that is written to a connection the endpoint has closed would end as a reset, and a message that
 // is not idempotent would be lost.
 TEST(EndpointPool, AConnectionClosedByTheEndpointIsNotWrittenTo) {
-  Server server([](const Seen&) { return Act{answer("200 OK"), true}; });  // closes, without saying so
+  HttpServer server([](const ReceivedRequest&) {
+    return ServerAction{httpResponse("200 OK"), true};
+  });  // closes, without saying so
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
   for (int i = 0; i < 20; ++i) {
@@ -251,7 +255,7 @@
   while (::recv(fd, piece, sizeof piece, 0) <= 0) {
     pool.io.run_one_for(std::chrono::milliseconds(1));
   }
-  const std::string fine = answer("200 OK");
+  const std::string fine = httpResponse("200 OK");
   EXPECT_EQ(static_cast<ssize_t>(fine.size()), ::send(fd, fine.data(), fine.size(), MSG_NOSIGNAL));
   EXPECT_EQ(AttemptResult::ok, pool.waitFor(1).result);
   EXPECT_EQ(1u, pool.endpoints.idleCount());
@@ -275,12 +279,12 @@
 }
 
 TEST(EndpointPool, AnIdleConnectionIsClosedBeforeTheEndpointWould) {
-  Server server([](const Seen&) { return Act{answer("200 OK")}; });
+  HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   TestPool pool(100'000);
   pool.endpoints.setAddress("e", server.address());
   pool.call("a");
   EXPECT_EQ(1u, pool.endpoints.idleCount());
-  const auto until = std::chrono::steady_clock::now() + loopback::kLong;
+  const auto until = std::chrono::steady_clock::now() + loopback::kWaitLimit;
   while (pool.endpoints.idleCount() > 0 && std::chrono::steady_clock::now() < until) {
     pool.io.restart();
     pool.io.run_one_for(std::chrono::seconds(1));
@@ -289,11 +293,11 @@
 }
 
 TEST(EndpointPool, ACancelledCallIsClosedAndHasOneOutcome) {
-  Server server([](const Seen&) { return Act{}; });
+  HttpServer server([](const ReceivedRequest&) { return ServerAction{}; });
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
   pool.endpoints.startCall(pool.message("m"), 3, "e", within(60'000'000));
-  while (server.seen().empty()) {
+  while (server.requests().empty()) {
     pool.io.restart();
     pool.io.run_one_for(std::chrono::milliseconds(20));
   }
@@ -329,7 +333,7 @@
 // Queued calls are sent one after the other, on the connections that are free by then, and each is written
 // once.
 TEST(EndpointPool, ABurstIsDeliveredOnTheConnectionsThatComeFree) {
-  Server server([](const Seen&) { return Act{answer("200 OK")}; });
+  HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
   for (int i = 0; i < 8; ++i) {
@@ -337,11 +341,11 @@
   }
   pool.waitFor(8);
   std::set<std::string> ids;
-  for (const Seen& seen : server.seen()) {
-    ids.insert(seen.field("X-Txn"));
+  for (const ReceivedRequest& request : server.requests()) {
+    ids.insert(request.field("X-Txn"));
   }
   EXPECT_EQ(8u, ids.size());
-  EXPECT_EQ(8u, server.seen().size());
+  EXPECT_EQ(8u, server.requests().size());
   for (const AttemptOutcome& outcome : pool.outcomes) {
     EXPECT_EQ(AttemptResult::ok, outcome.result);
   }
@@ -351,7 +355,8 @@
 // A Retry-After of a destination, and a drain, hold for calls that are queued for a connection and for those
 // that are connecting: they would be written within the wait.
 TEST(EndpointPool, ACallWithoutAConnectionIsWithdrawnByARetryAfterAndADrain) {
-  Server server([](const Seen&) { return Act{answer("429 Slow", "Retry-After: 9\r\n")}; });
+  HttpServer server(
+      [](const ReceivedRequest&) { return ServerAction{httpResponse("429 Slow", "Retry-After: 9\r\n")}; });
   Stuck stuck;
   for (const bool drain : {false, true}) {
     TestPool pool;
@@ -380,7 +385,7 @@
 TEST(EndpointPool, ARetryAfterIsReportedWithTheHeadOfItsAnswer) {
   const std::string head = "HTTP/1.1 429 Slow\r\nRetry-After: 9\r\nContent-Length: 10\r\n\r\nhalf";
   for (const bool cut : {false, true}) {
-    Server server([&](const Seen&) { return Act{head, cut}; });
+    HttpServer server([&](const ReceivedRequest&) { return ServerAction{head, cut}; });
     Stuck stuck;
     TestPool pool;
     pool.endpoints.setAddress("e", stuck.listener.address());
@@ -406,11 +411,12 @@
 
 // The answer is in the socket when the call is cancelled: it is the outcome of the call.
 TEST(EndpointPool, AnAnswerThatCrossesTheCancellationCounts) {
-  Server server([](const Seen&) { return Act{answer("429 Slow", "Retry-After: 9\r\n")}; });
+  HttpServer server(
+      [](const ReceivedRequest&) { return ServerAction{httpResponse("429 Slow", "Retry-After: 9\r\n")}; });
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
   pool.endpoints.startCall(pool.message("m"), 0, "e", within(60'000'000));
-  while (server.seen().empty()) {
+  while (server.requests().empty()) {
     pool.io.run_one_for(std::chrono::milliseconds(1));
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(100));  // time for the answer to arrive: unread
@@ -435,7 +441,8 @@
 
 // Where endpoints have their own routes, a Retry-After holds for the endpoint that answered it alone.
 TEST(EndpointPool, ARetryAfterOfAnEndpointWithItsOwnRouteHoldsForThatEndpointAlone) {
-  Server server([](const Seen&) { return Act{answer("429 Slow", "Retry-After: 9\r\n")}; });
+  HttpServer server(
+      [](const ReceivedRequest&) { return ServerAction{httpResponse("429 Slow", "Retry-After: 9\r\n")}; });
   Stuck other;
   TestPool pool;
   pool.endpoints.setAddress("other", other.listener.address(), true);
@@ -449,7 +456,7 @@
 
 // The call has a connection and is not yet written: the drain comes in between.
 TEST(EndpointPool, ACallAboutToBeWrittenIsWithdrawnByADrain) {
-  Server server([](const Seen&) { return Act{answer("200 OK")}; });
+  HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
   pool.call("first");
@@ -457,7 +464,7 @@
   pool.endpoints.onEndpointDraining("e");
   EXPECT_EQ(AttemptResult::not_sent, pool.waitFor(2).result);
   EXPECT_TRUE(loopback::eventually([&] { return server.closedByPeer() == 1; }));
-  EXPECT_EQ(1u, server.seen().size());
+  EXPECT_EQ(1u, server.requests().size());
 }
 
 // An endpoint that has stopped reading has a part of the call: that can't run, and the rest is not sent.
@@ -481,7 +488,7 @@
 
 // The remaining time is computed when a call is written, after connecting and queueing for a connection.
 TEST(EndpointPool, ConnectingCountsAgainstTheRemainingTime) {
-  Server server([](const Seen&) { return Act{answer("200 OK")}; });
+  HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
   const Deadline until = within(5'000'000);
@@ -490,15 +497,15 @@
   pool.waitFor(1);
   pool.endpoints.startCall(pool.message("reused"), 0, "e", until);
   pool.waitFor(2);
-  ASSERT_EQ(2u, server.seen().size());
-  EXPECT_LE(std::stoi(server.seen()[0].field("X-Remaining-Ms")), 4950);
-  EXPECT_LE(std::stoi(server.seen()[1].field("X-Remaining-Ms")),
-            std::stoi(server.seen()[0].field("X-Remaining-Ms")));
+  ASSERT_EQ(2u, server.requests().size());
+  EXPECT_LE(std::stoi(server.requests()[0].field("X-Remaining-Ms")), 4950);
+  EXPECT_LE(std::stoi(server.requests()[1].field("X-Remaining-Ms")),
+            std::stoi(server.requests()[0].field("X-Remaining-Ms")));
 }
 
 // With no time left nothing is written: the call might run, and its outcome would never be known.
 TEST(EndpointPool, ACallWithNoTimeLeftIsNotWritten) {
-  Server server([](const Seen&) { return Act{answer("200 OK")}; });
+  HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   TestPool pool;
   pool.endpoints.setAddress("e", server.address());
   EXPECT_EQ(AttemptResult::ok, pool.call("first").result);
@@ -507,12 +514,12 @@
   }
   pool.endpoints.closeAllIdle();
   EXPECT_EQ(AttemptResult::connect_failed, pool.call("on a fresh one", 0).result);
-  EXPECT_EQ(1u, server.seen().size());
+  EXPECT_EQ(1u, server.requests().size());
 }
 
 // An endpoint with all of the idle connections makes room for one to another endpoint.
 TEST(EndpointPool, TheEndpointWithTheMostIdleConnectionsGivesWay) {
-  Server server([](const Seen&) { return Act{answer("200 OK")}; });
+  HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   TestPool pool;
   DescriptorBudget budget = TestPool::budget();
   budget.max_idle_connections = 3;
@@ -529,7 +536,7 @@
   EXPECT_EQ(3u, pool.endpoints.idleCount());
   pool.endpoints.startCall(pool.message("again"), 0, "f", within(60'000'000));
   pool.waitFor(10);
-  EXPECT_EQ(server.seen()[8].connection, server.seen()[9].connection);
+  EXPECT_EQ(server.requests()[8].connection, server.requests()[9].connection);
 }
 
 }  // namespace
--- a/tests/network/http_connection_test.cpp
+++ b/tests/network/http_connection_test.cpp
@@ -19,10 +19,10 @@
 namespace delivery {
 namespace {
 
-using loopback::Act;
-using loopback::answer;
-using loopback::Seen;
-using loopback::Server;
+using loopback::httpResponse;
+using loopback::HttpServer;
+using loopback::ReceivedRequest;
+using loopback::ServerAction;
 
 Deadline within(Micros span) {
   return Deadline::after(monotonicNow(), span);
@@ -50,7 +50,7 @@
   boost::asio::steady_timer just_before(io);
   just_before.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(until.at() - 1)));
   just_before.async_wait([&](const boost::system::error_code&) {
-    const std::string bytes = answer("429 Too Many Requests", "Retry-After: 0.5\r\n", "later");
+    const std::string bytes = httpResponse("429 Too Many Requests", "Retry-After: 0.5\r\n", "later");
     EXPECT_EQ(static_cast<ssize_t>(bytes.size()), ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL));
   });
   while (until.remaining(monotonicNow()) >= -1000) {
@@ -68,7 +68,7 @@
 // The connection is up, and the timer of the connect has fired, before either is looked for: the request goes
 // out, and so it may not pass for one that was never written.
 TEST(HttpConnection, AConnectionThatComesUpAsItsTimerFiresIsUp) {
-  Server server([](const Seen&) { return Act{answer("200 OK")}; });
+  HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   boost::asio::io_context io;
   HttpConnection connection(io, parseAddress(server.address()), "e", 65536);
   HttpRequest request;
@@ -83,7 +83,7 @@
   while (!answered) {
     io.run_one_for(std::chrono::milliseconds(100));
   }
-  EXPECT_EQ(server.seen().empty(), answered->completion == ExchangeStatus::not_written);
+  EXPECT_EQ(server.requests().empty(), answered->completion == ExchangeStatus::not_written);
   EXPECT_EQ(200, answered->status);
 }
 
--- a/tests/process/configuration_test.cpp
+++ b/tests/process/configuration_test.cpp
@@ -40,7 +40,7 @@
     ::setenv("GW_STATE", folder_.path().c_str(), 1);
   }
 
-  static json minimal() { return {{"settings", plainSettings()}}; }
+  static json minimal() { return {{"settings", testSettings()}}; }
 
   // The text of the error that reading the whole configuration gives.
   static std::string error() {
--- a/tests/process/control_test.cpp
+++ b/tests/process/control_test.cpp
@@ -7,9 +7,9 @@
 using namespace loopback;
 
 TEST(ControlAddress, ReadyTellsWhetherTheProgramServes) {
-  Fleet fleet(deliver);
-  EXPECT_EQ("OK ready", fleet.program.operate("READY"));
-  Client crlf(fleet.program.controlPort());
+  SenderSetup setup(respondOk);
+  EXPECT_EQ("OK ready", setup.program.command("READY"));
+  SenderClient crlf(setup.program.controlPort());
   crlf.send("READY\r\n");
   EXPECT_EQ("OK ready", crlf.line("\n"));
   EXPECT_TRUE(crlf.closed());
@@ -18,81 +18,83 @@
 // Destinations are known from the endpoint list alone: without one each message would be rejected.
 TEST(ControlAddress, IsNotReadyWithoutAnEndpointList) {
   TempFolder folder;
-  Server endpoint(deliver);
-  Agent agent;
-  Program program(folder.path(), agent.address(), json::array());
-  EXPECT_EQ(0u, program.operate("READY").find("ERR"));
-  ASSERT_TRUE(agent.waitForWatch(1));
-  agent.tell(json::array({listed("e1", endpoint.address(), 7)}));
-  EXPECT_TRUE(eventually([&] { return program.operate("READY") == "OK ready"; }));
+  HttpServer endpoint(respondOk);
+  DiscoveryServer discovery;
+  SenderProgram program(folder.path(), discovery.address(), json::array());
+  EXPECT_EQ(0u, program.command("READY").find("ERR"));
+  ASSERT_TRUE(discovery.waitForWatch(1));
+  discovery.publish(json::array({endpointEntry("e1", endpoint.address(), 7)}));
+  EXPECT_TRUE(eventually([&] { return program.command("READY") == "OK ready"; }));
 }
 
 TEST(ControlAddress, RejectsInvalidCommandsAndClosesStalledConnections) {
-  Fleet fleet(deliver);
-  EXPECT_EQ(0u, fleet.program.operate("SHUTDOWN").find("ERR"));
-  EXPECT_EQ(0u, fleet.program.operate("").find("ERR"));
-  EXPECT_EQ(0u, fleet.program.operate("READY now").find("ERR"));
-  Client overlong(fleet.program.controlPort());
+  SenderSetup setup(respondOk);
+  EXPECT_EQ(0u, setup.program.command("SHUTDOWN").find("ERR"));
+  EXPECT_EQ(0u, setup.program.command("").find("ERR"));
+  EXPECT_EQ(0u, setup.program.command("READY now").find("ERR"));
+  SenderClient overlong(setup.program.controlPort());
   overlong.send(std::string(100'000, 'R'));
   EXPECT_EQ(0u, overlong.line("\n").find("ERR"));
-  Client half(fleet.program.controlPort()), silent(fleet.program.controlPort());
+  SenderClient half(setup.program.controlPort()), silent(setup.program.controlPort());
   half.send("REA");
   EXPECT_TRUE(half.closed());
   EXPECT_TRUE(silent.closed());
-  EXPECT_EQ("OK ready", fleet.program.operate("READY"));
+  EXPECT_EQ("OK ready", setup.program.command("READY"));
 }
 
 // More callers stall than there are descriptors for, and clients fill their own table: operators are
 // answered.
 TEST(ControlAddress, AnswersWhileCallersStallAndClientsFillTheirTable) {
-  Fleet fleet(deliver);
-  std::vector<std::unique_ptr<Client>> crowd;
+  SenderSetup setup(respondOk);
+  std::vector<std::unique_ptr<SenderClient>> crowd;
   crowd.reserve(1140);
   for (int i = 0; i < 1100; ++i) {
-    crowd.push_back(std::make_unique<Client>(fleet.program.port()));
+    crowd.push_back(std::make_unique<SenderClient>(setup.program.port()));
   }
   for (int i = 0; i < 40; ++i) {
-    crowd.push_back(std::make_unique<Client>(fleet.program.controlPort()));
+    crowd.push_back(std::make_unique<SenderClient>(setup.program.controlPort()));
     crowd.back()->send("REA");
   }
-  EXPECT_EQ("OK ready", fleet.program.operate("READY"));
+  EXPECT_EQ("OK ready", setup.program.command("READY"));
 }
 
 // While draining, PING fails and connections are closed between requests, after their answers; accepted
 // messages are delivered, and the program goes on. UNDRAIN ends it.
 TEST(OperatorDrain, ClosesClientConnectionsAndDeliversAcceptedMessages) {
   std::atomic<bool> full{true};
-  Fleet fleet([&](const Seen&) { return full ? Act{answer("503 Full")} : Act{answer("200 OK")}; });
-  Client idle(fleet.program.port()), in_a_request(fleet.program.port());
-  ASSERT_EQ("+OK", idle.put("held", "notice", 7));
+  SenderSetup setup([&](const ReceivedRequest&) {
+    return full ? ServerAction{httpResponse("503 Full")} : ServerAction{httpResponse("200 OK")};
+  });
+  SenderClient idle(setup.program.port()), in_a_request(setup.program.port());
+  ASSERT_EQ("+OK", idle.submit("held", "notice", 7));
   const std::string put_request =
-      Client::request({"MSG.PUT", "0", "cut", "c=notice,d=28000,k=kcut,dest=7", "body"});
+      SenderClient::request({"MSG.PUT", "0", "cut", "c=notice,d=28000,k=kcut,dest=7", "body"});
   in_a_request.send(put_request.substr(0, 20));
-  ASSERT_TRUE(fleet.endpoint.waitFor(1));
-  EXPECT_EQ(0u, fleet.program.operate("DRAIN").find("OK"));
-  EXPECT_EQ(0u, fleet.program.operate("READY").find("ERR"));
+  ASSERT_TRUE(setup.endpoint.waitForRequests(1));
+  EXPECT_EQ(0u, setup.program.command("DRAIN").find("OK"));
+  EXPECT_EQ(0u, setup.program.command("READY").find("ERR"));
   EXPECT_TRUE(idle.closed());
   in_a_request.send(put_request.substr(20));
   EXPECT_EQ("+OK", in_a_request.line());
   EXPECT_TRUE(in_a_request.ended());
-  Client late(fleet.program.port()), silent(fleet.program.port());
+  SenderClient late(setup.program.port()), silent(setup.program.port());
   EXPECT_EQ(0u, late.ask({"PING"}).find("-ERR"));
   EXPECT_TRUE(late.ended());
   EXPECT_TRUE(silent.closed());
-  EXPECT_EQ(0u, fleet.program.operate("DRAIN").find("OK"));  // once more changes nothing
+  EXPECT_EQ(0u, setup.program.command("DRAIN").find("OK"));  // once more changes nothing
   full = false;
   EXPECT_TRUE(eventually([&] {
     std::set<std::string> ids;
-    for (const Seen& request : fleet.endpoint.seen()) {
+    for (const ReceivedRequest& request : setup.endpoint.requests()) {
       ids.insert(request.field("X-Txn"));
     }
     return ids == std::set<std::string>{"held", "cut"};
   }));
-  EXPECT_EQ(0u, fleet.program.operate("UNDRAIN").find("OK"));
-  EXPECT_EQ("OK ready", fleet.program.operate("READY"));
-  Client back(fleet.program.port());
+  EXPECT_EQ(0u, setup.program.command("UNDRAIN").find("OK"));
+  EXPECT_EQ("OK ready", setup.program.command("READY"));
+  SenderClient back(setup.program.port());
   EXPECT_EQ("+PONG", back.ask({"PING"}));
-  EXPECT_EQ("+OK", back.put("after", "notice", 7));
+  EXPECT_EQ("+OK", back.submit("after", "notice", 7));
 }
 
 }  // namespace
--- a/tests/process/handover_compatibility_test.cpp
+++ b/tests/process/handover_compatibility_test.cpp
@@ -57,7 +57,7 @@
 }
 
 json settings(double objective_ms) {
-  json values = plainSettings();
+  json values = testSettings();
   values["Ceilings"]["DialTimeoutMs"] = 100000.0;
   values["Domain"]["CallSlots"] = 20;
   for (json& message_class : values["Categories"]) {
@@ -115,7 +115,7 @@
 
  private:
   bool waitUntilReadable() const {
-    constexpr int kWaitMs = static_cast<int>(std::chrono::milliseconds(kLong).count());
+    constexpr int kWaitMs = static_cast<int>(std::chrono::milliseconds(kWaitLimit).count());
     pollfd poll_fd{fd_, POLLIN, 0};
     return ::poll(&poll_fd, 1, kWaitMs) > 0;
   }
@@ -217,15 +217,15 @@
   std::filesystem::create_directories(scratch);
   writeJournal(folder.path(), messages);
   LockHolder lock(folder.path());
-  loopback::Agent agent;
-  Server endpoint(stayOut);
+  DiscoveryServer discovery;
+  HttpServer endpoint(neverRespond);
   std::map<std::string, json> by_id;
   std::map<std::string, json> endpoints;
   for (const json& message : messages) {
     by_id[message.at("message")] = message;
     for (const json& attempt : message.at("attempts")) {
       const std::string name = attempt.at("endpoint");
-      endpoints[name] = listed(name, endpoint.address(), message.at("destination"));
+      endpoints[name] = endpointEntry(name, endpoint.address(), message.at("destination"));
     }
   }
   json known = json::array();
@@ -256,13 +256,13 @@
     }
   });
   // With the recorded objective; the constructor waits until the successor is ready.
-  Program successor(folder.path(), agent.address(), known, 3, settings(16000));
+  SenderProgram successor(folder.path(), discovery.address(), known, 3, settings(16000));
   predecessor.join();
   EXPECT_EQ(R"({"serving":true})", successor_lines.back().dump());
   if (!early) {
     EXPECT_EQ(1u, successor_lines.size());
   }
-  EXPECT_EQ("OK ready", successor.operate("READY"));
+  EXPECT_EQ("OK ready", successor.command("READY"));
 
   // A Retry-After holds for the predecessor's calls, too, and is reported to it.
   std::set<std::pair<std::string, std::int64_t>> expected_holds, reported_holds;
@@ -316,11 +316,11 @@
   }
   EXPECT_FALSE(abandoned.empty() || retried.empty());
   for (const std::string& id : abandoned) {
-    EXPECT_TRUE(agent.waitForNotice(id)) << id;
+    EXPECT_TRUE(discovery.waitForNotice(id)) << id;
   }
   const auto sent_ids = [&] {
     std::set<std::string> ids;
-    for (const Seen& request : endpoint.seen()) {
+    for (const ReceivedRequest& request : endpoint.requests()) {
       ids.insert(request.field("X-Txn"));
     }
     return ids;
@@ -344,9 +344,9 @@
   EXPECT_TRUE(eventually(journal_is_complete)) << openIn(folder.path()).size() << " messages open";
 
   link->close();  // the predecessor exits
-  EXPECT_EQ("OK ready", successor.operate("READY"));
+  EXPECT_EQ("OK ready", successor.command("READY"));
   EXPECT_EQ(retried, sent_ids());
-  EXPECT_EQ(abandoned.size(), agent.noticeCount()) << agent.allNotices();
+  EXPECT_EQ(abandoned.size(), discovery.noticeCount()) << discovery.allNotices();
 }
 
 INSTANTIATE_TEST_SUITE_P(All, RecordedPredecessor, testing::Bool(),
@@ -361,32 +361,32 @@
 struct ResponseGates {
   void waitUntilOpen(const bool& gate) {
     std::unique_lock<std::mutex> lock(mutex);
-    changed.wait_for(lock, kLong, [&] { return gate; });
+    changed.wait_for(lock, kWaitLimit, [&] { return gate; });
   }
   void open(bool& gate) {
     std::lock_guard<std::mutex> lock(mutex);
     gate = true;
     changed.notify_all();
   }
-  Act respond(const std::string& id) {
+  ServerAction respond(const std::string& id) {
     const bool hangs = id.rfind("hang-", 0) == 0 || id == "expires";
     waitUntilOpen(hangs ? hanging : answering);
     if (hangs) {
-      return {answer("200 OK")};
+      return {httpResponse("200 OK")};
     }
     if (id == "full") {
-      return {answer("429 Full", "Retry-After: 2\r\nX-Pressure: x0=0.9,x1=5\r\n")};
+      return {httpResponse("429 Full", "Retry-After: 2\r\nX-Pressure: x0=0.9,x1=5\r\n")};
     }
     if (id == "half") {
       return {"HTTP/1.1 429 Full\r\nRetry-After: 1\r\nContent-Length: 9\r\n\r\nhalf"};
     }
     if (id == "error") {
-      return {answer("500 Error")};
+      return {httpResponse("500 Error")};
     }
     if (id == "reset") {
       return {"", false, true};
     }
-    return {answer("200 OK", "X-Pressure: x0=0.4,x1=25\r\n")};
+    return {httpResponse("200 OK", "X-Pressure: x0=0.4,x1=25\r\n")};
   }
   // Opens both gates at the end of a test, also of one that failed.
   struct Opener {
@@ -407,11 +407,11 @@
   ASSERT_FALSE(isAbsent(json::parse(lines.front()), "serving"));
 
   ResponseGates gates;
-  Server endpoint([&](const Seen& request) { return gates.respond(request.field("X-Txn")); });
+  HttpServer endpoint([&](const ReceivedRequest& request) { return gates.respond(request.field("X-Txn")); });
   const ResponseGates::Opener opener{gates};
   const StuckListener stuck;
   TempFolder folder;
-  loopback::Agent agent;
+  DiscoveryServer discovery;
   const auto is_stuck = [](const json& message) {
     return message.at("message").get<std::string>().rfind("stuck-", 0) == 0;
   };
@@ -419,22 +419,22 @@
   for (const json& message : messages) {
     const std::string name = message.at("attempts").at(0).at("endpoint");
     const std::string address = is_stuck(message) ? stuck.address() : endpoint.address();
-    endpoints[name] = listed(name, address, message.at("destination"));
+    endpoints[name] = endpointEntry(name, address, message.at("destination"));
   }
   json known = json::array();
   for (const auto& [name, entry] : endpoints) {
     known.push_back(entry);
   }
   // An objective so long that nothing is overdue meanwhile.
-  Program predecessor(folder.path(), agent.address(), known, 3, settings(100000));
+  SenderProgram predecessor(folder.path(), discovery.address(), known, 3, settings(100000));
   std::size_t written = 0;
   for (const json& message : messages) {
-    Client client(predecessor.port());
-    ASSERT_EQ("+OK", client.put(message.at("message"), message.at("class"), message.at("destination"),
-                                message.at("body"), 100000));
+    SenderClient client(predecessor.port());
+    ASSERT_EQ("+OK", client.submit(message.at("message"), message.at("class"), message.at("destination"),
+                                   message.at("body"), 100000));
     written += !is_stuck(message);
   }
-  ASSERT_TRUE(endpoint.waitFor(written));
+  ASSERT_TRUE(endpoint.waitForRequests(written));
 
   UnixSocket link;
   ASSERT_TRUE(link.connect(folder.path() + "-tmp/handover"));
--- a/tests/process/sender_test.cpp
+++ b/tests/process/sender_test.cpp
@@ -9,11 +9,11 @@
 using namespace loopback;
 
 TEST(SenderProgram, AcceptsAMessageAndDeliversItUnchanged) {
-  Fleet fleet(deliver);
-  Client client(fleet.program.port());
-  EXPECT_EQ("+OK", client.put("9b1f03aa5c7e2d41", "order", 7, std::string("a\0\r\nb", 5)));
-  ASSERT_TRUE(fleet.endpoint.waitFor(1));
-  const Seen request = fleet.endpoint.seen()[0];
+  SenderSetup setup(respondOk);
+  SenderClient client(setup.program.port());
+  EXPECT_EQ("+OK", client.submit("9b1f03aa5c7e2d41", "order", 7, std::string("a\0\r\nb", 5)));
+  ASSERT_TRUE(setup.endpoint.waitForRequests(1));
+  const ReceivedRequest request = setup.endpoint.requests()[0];
   EXPECT_EQ("9b1f03aa5c7e2d41", request.field("X-Txn"));
   EXPECT_EQ("k9b1f03aa5c7e2d41", request.field("Idempotency-Key"));
   EXPECT_EQ(std::string("a\0\r\nb", 5), request.body);
@@ -22,39 +22,40 @@
 // The tenant that a client names reaches the decision module, also after a kill: with one slot, a message
 // within its tenant's quota is sent before earlier ones of a tenant that is far beyond its own.
 TEST(SenderProgram, AMessageWithinItsTenantsQuotaIsSentFirst) {
-  json settings = plainSettings();
+  json settings = testSettings();
   settings["Domain"]["CallSlots"] = 1;
   settings["OverShareWorth"] = 0.1;
   settings["Tenants"] = {{{"Name", "beyond"}, {"QuotaRps", 0.001}, {"Share", 0.5}},
                          {{"Name", "inside"}, {"QuotaRps", 1000.0}, {"Share", 0.5}}};
   std::atomic<bool> silent{true};
   TempFolder folder;
-  Agent agent;
-  Server endpoint([&](const Seen&) { return silent ? Act{} : Act{answer("200 OK")}; });
-  Program program(folder.path(), agent.address(), json::array({listed("e1", endpoint.address(), 7)}), 3,
-                  settings);
-  Client client(program.port());
-  auto put = [&](const std::string& id, const std::string& tenant) {
+  DiscoveryServer discovery;
+  HttpServer endpoint(
+      [&](const ReceivedRequest&) { return silent ? ServerAction{} : ServerAction{httpResponse("200 OK")}; });
+  SenderProgram program(folder.path(), discovery.address(),
+                        json::array({endpointEntry("e1", endpoint.address(), 7)}), 3, settings);
+  SenderClient client(program.port());
+  auto submit = [&](const std::string& id, const std::string& tenant) {
     return client.ask({"MSG.PUT", "0", id, "c=payment,t=" + tenant + ",d=28000,dest=7", "body"});
   };
-  ASSERT_EQ("+OK", put("first", "beyond"));
-  ASSERT_TRUE(endpoint.waitFor(1));  // it holds the slot, and may have run when the process is killed
+  ASSERT_EQ("+OK", submit("first", "beyond"));
+  ASSERT_TRUE(endpoint.waitForRequests(1));  // it holds the slot, and may have run when the process is killed
   for (const char* id : {"b1", "b2", "b3"}) {
-    ASSERT_EQ("+OK", put(id, "beyond"));
+    ASSERT_EQ("+OK", submit(id, "beyond"));
   }
-  ASSERT_EQ("+OK", put("mine", "inside"));
+  ASSERT_EQ("+OK", submit("mine", "inside"));
   program.kill();
   silent = false;
   program.start();
-  ASSERT_TRUE(endpoint.waitFor(5));
-  EXPECT_EQ("mine", endpoint.seen()[1].field("X-Txn"));
+  ASSERT_TRUE(endpoint.waitForRequests(5));
+  EXPECT_EQ("mine", endpoint.requests()[1].field("X-Txn"));
 }
 
 TEST(SenderProgram, InvalidInputGetsAnErrorAndTheProgramGoesOn) {
-  Fleet fleet(deliver);
-  Client client(fleet.program.port());
-  EXPECT_EQ(0u, client.put("a", "nonsense", 7).find("-ERR"));
-  EXPECT_EQ(0u, client.put("b", "order", 99).find("-ERR"));
+  SenderSetup setup(respondOk);
+  SenderClient client(setup.program.port());
+  EXPECT_EQ(0u, client.submit("a", "nonsense", 7).find("-ERR"));
+  EXPECT_EQ(0u, client.submit("b", "order", 99).find("-ERR"));
   EXPECT_EQ(0u, client.ask({"MSG.PUT", "0", "id", "c=order,d=soon,dest=7", "x"}).find("-ERR"));
   EXPECT_EQ(0u, client.ask({"MSG.PUT", "0", "i\r\nd", "c=order,d=100,dest=7", "x"}).find("-ERR"));
   EXPECT_EQ(0u, client.ask({"MSG.PUT", "0"}).find("-ERR"));
@@ -62,28 +63,28 @@
   EXPECT_EQ("+PONG", client.ask({"PING"}));  // the connection is still good
   for (const std::string& bytes :
        {std::string("GET / HTTP/1.1\r\n\r\n"), "*1\r\n$99999999\r\n" + std::string(300'000, 'x')}) {
-    Client bad(fleet.program.port());
+    SenderClient bad(setup.program.port());
     bad.send(bytes);
     EXPECT_EQ(0u, bad.line().find("-ERR"));
     EXPECT_TRUE(bad.ended());
   }
-  EXPECT_EQ("+OK", client.put("fine", "order", 7));
+  EXPECT_EQ("+OK", client.submit("fine", "order", 7));
 }
 
 // Peers that send no complete request, at once or byte by byte, or no message in it, hold no descriptor for
 // long; a client that is idle between messages does.
 TEST(SenderProgram, SilentPeersAndIncompleteRequestsAreClosed) {
-  Fleet fleet(deliver);
-  Client idle_client(fleet.program.port());
-  EXPECT_EQ("+OK", idle_client.put("first", "order", 7));
-  Client silent(fleet.program.port()), idle(fleet.program.port()), half(fleet.program.port()),
-      later(fleet.program.port());
+  SenderSetup setup(respondOk);
+  SenderClient idle_client(setup.program.port());
+  EXPECT_EQ("+OK", idle_client.submit("first", "order", 7));
+  SenderClient silent(setup.program.port()), idle(setup.program.port()), half(setup.program.port()),
+      later(setup.program.port());
   EXPECT_EQ("+PONG", idle.ask({"PING"}));
   half.send("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000");
   EXPECT_EQ("+PONG", later.ask({"PING"}));
   later.send("*5\r\n$7\r\nMSG");
   std::atomic<bool> stop{false};
-  Client slow_sender(fleet.program.port());
+  SenderClient slow_sender(setup.program.port());
   std::thread slow_bytes([&] {
     slow_sender.send("*5\r\n$7\r\nMSG.PUT\r\n$60000\r\n");
     while (!stop) {
@@ -98,38 +99,38 @@
   EXPECT_TRUE(slow_sender.closed());
   stop = true;
   slow_bytes.join();
-  EXPECT_EQ("+OK", idle_client.put("fine", "order", 7));
+  EXPECT_EQ("+OK", idle_client.submit("fine", "order", 7));
 }
 
 // More peers than the table holds send PING and stay idle: a client that connects after them is served.
 TEST(SenderProgram, IdlePeersMakeRoomForClients) {
-  Fleet fleet(deliver);
-  std::vector<std::unique_ptr<Client>> crowd;
+  SenderSetup setup(respondOk);
+  std::vector<std::unique_ptr<SenderClient>> crowd;
   for (int i = 0; i < 800; ++i) {
-    crowd.push_back(std::make_unique<Client>(fleet.program.port()));
+    crowd.push_back(std::make_unique<SenderClient>(setup.program.port()));
     ASSERT_TRUE(crowd.back()->connected());
-    crowd.back()->send(Client::request({"PING"}));
+    crowd.back()->send(SenderClient::request({"PING"}));
   }
-  Client client(fleet.program.port());
-  EXPECT_EQ("+OK", client.put("fine", "order", 7));
+  SenderClient client(setup.program.port());
+  EXPECT_EQ("+OK", client.submit("fine", "order", 7));
 }
 
 // Peers that never send a byte fill the table several times: a client that is idle between its messages keeps
 // its connection, and one that connects after them is served.
 TEST(SenderProgram, SilentPeersMakeRoomBeforeAnIdleClient) {
-  Fleet fleet(deliver);
-  Client idle_client(fleet.program.port());
-  ASSERT_EQ("+OK", idle_client.put("first", "order", 7));
-  Client silent(fleet.program.port());
+  SenderSetup setup(respondOk);
+  SenderClient idle_client(setup.program.port());
+  ASSERT_EQ("+OK", idle_client.submit("first", "order", 7));
+  SenderClient silent(setup.program.port());
   ASSERT_TRUE(silent.closed());  // by now the client has been idle for as long as that peer was waited for
-  std::vector<std::unique_ptr<Client>> crowd;
+  std::vector<std::unique_ptr<SenderClient>> crowd;
   crowd.reserve(2000);
   for (int i = 0; i < 2000; ++i) {
-    crowd.push_back(std::make_unique<Client>(fleet.program.port()));
+    crowd.push_back(std::make_unique<SenderClient>(setup.program.port()));
   }
-  Client behind(fleet.program.port());
-  EXPECT_EQ("+OK", behind.put("second", "order", 7));
-  EXPECT_EQ("+OK", idle_client.put("third", "order", 7));
+  SenderClient behind(setup.program.port());
+  EXPECT_EQ("+OK", behind.submit("second", "order", 7));
+  EXPECT_EQ("+OK", idle_client.submit("third", "order", 7));
 }
 
 TEST(SenderProgram, AnInvalidConfigurationIsOneLogLineAndAnExitCode) {
@@ -139,7 +140,7 @@
     const std::string path = folder.path() + "/config.json";
     std::ofstream(path) << text;
     int status = 0;
-    ASSERT_GT(::waitpid(Program::spawn(path, folder.path()), &status, 0), 0);
+    ASSERT_GT(::waitpid(SenderProgram::spawn(path, folder.path()), &status, 0), 0);
     EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) != 0) << text;
   }
 }
@@ -148,143 +149,148 @@
 // run, so it is abandoned with a notice and never sent again.
 TEST(SenderProgram, AcceptedMessagesAreResumedAfterAKill) {
   std::atomic<bool> silent{true};
-  Fleet fleet([&](const Seen&) { return silent ? Act{} : Act{answer("200 OK")}; });
+  SenderSetup setup(
+      [&](const ReceivedRequest&) { return silent ? ServerAction{} : ServerAction{httpResponse("200 OK")}; });
   {
-    Client client(fleet.program.port());
-    ASSERT_EQ("+OK", client.put("safe", "notice", 7));
-    ASSERT_EQ("+OK", client.put("keyed", "order", 7));
-    ASSERT_EQ("+OK", client.put("unsafe", "payment", 7));
-    ASSERT_TRUE(fleet.endpoint.waitFor(3));
+    SenderClient client(setup.program.port());
+    ASSERT_EQ("+OK", client.submit("safe", "notice", 7));
+    ASSERT_EQ("+OK", client.submit("keyed", "order", 7));
+    ASSERT_EQ("+OK", client.submit("unsafe", "payment", 7));
+    ASSERT_TRUE(setup.endpoint.waitForRequests(3));
   }
-  fleet.program.kill();
+  setup.program.kill();
   silent = false;
-  fleet.program.start();
-  ASSERT_TRUE(fleet.endpoint.waitFor(5));
-  ASSERT_TRUE(fleet.agent.waitForNotice("unsafe"));
-  EXPECT_EQ("given_up", fleet.agent.notice("unsafe")["outcome"]);
+  setup.program.start();
+  ASSERT_TRUE(setup.endpoint.waitForRequests(5));
+  ASSERT_TRUE(setup.discovery.waitForNotice("unsafe"));
+  EXPECT_EQ("given_up", setup.discovery.notice("unsafe")["outcome"]);
   std::map<std::string, int> sends;
-  for (const Seen& request : fleet.endpoint.seen()) {
+  for (const ReceivedRequest& request : setup.endpoint.requests()) {
     ++sends[request.field("X-Txn")];
   }
   EXPECT_EQ(2, sends["safe"]);
   EXPECT_EQ(2, sends["keyed"]);
   EXPECT_EQ(1, sends["unsafe"]);
-  EXPECT_EQ(1u, fleet.agent.noticeCount());
+  EXPECT_EQ(1u, setup.discovery.noticeCount());
 }
 
 // A message whose time to live is invalid is rejected, and nothing is accepted.
 TEST(SenderProgram, AnInvalidTimeToLiveIsRejected) {
-  Fleet fleet(stayOut);
-  Client client(fleet.program.port());
+  SenderSetup setup(neverRespond);
+  SenderClient client(setup.program.port());
   for (const char* d :
        {"d=0", "d=-5", "d=", "d=1.5", "d=soon", "d=99999999999999999999", "d=86400001", "x=1"}) {
     EXPECT_EQ(0u, client.ask({"MSG.PUT", "0", "id", std::string("c=order,dest=7,") + d, "x"}).find("-ERR"))
         << d;
   }
-  EXPECT_EQ("+OK", client.put("fine", "order", 7));
-  ASSERT_TRUE(fleet.endpoint.waitFor(1));
-  EXPECT_EQ("fine", fleet.endpoint.seen()[0].field("X-Txn"));
-  EXPECT_EQ(0u, fleet.agent.noticeCount());
+  EXPECT_EQ("+OK", client.submit("fine", "order", 7));
+  ASSERT_TRUE(setup.endpoint.waitForRequests(1));
+  EXPECT_EQ("fine", setup.endpoint.requests()[0].field("X-Txn"));
+  EXPECT_EQ(0u, setup.discovery.noticeCount());
 }
 
 // The time to live counts from the first byte: a request that takes longer to arrive is rejected, and not
 // sent.
 TEST(SenderProgram, ARequestThatExpiresWhileItArrivesIsNotAccepted) {
-  Fleet fleet(deliver);
-  Client client(fleet.program.port());
-  const std::string request = Client::request({"MSG.PUT", "0", "late", "c=order,d=50,dest=7", "body"});
+  SenderSetup setup(respondOk);
+  SenderClient client(setup.program.port());
+  const std::string request = SenderClient::request({"MSG.PUT", "0", "late", "c=order,d=50,dest=7", "body"});
   client.send(request.substr(0, 10));
-  ASSERT_EQ("OK ready", fleet.program.operate("READY"));  // by now the first bytes have been read
+  ASSERT_EQ("OK ready", setup.program.command("READY"));  // by now the first bytes have been read
   std::this_thread::sleep_for(60ms);
   client.send(request.substr(10));
   const std::string reply = client.line();
   EXPECT_TRUE(reply.rfind('-', 0) == 0) << reply;
-  EXPECT_EQ("+OK", client.put("fine", "order", 7));
-  ASSERT_TRUE(fleet.endpoint.waitFor(1));
-  EXPECT_EQ("fine", fleet.endpoint.seen()[0].field("X-Txn"));
+  EXPECT_EQ("+OK", client.submit("fine", "order", 7));
+  ASSERT_TRUE(setup.endpoint.waitForRequests(1));
+  EXPECT_EQ("fine", setup.endpoint.requests()[0].field("X-Txn"));
 }
 
 // A message that expires while the process is down: one notice, and no attempt.
 TEST(SenderProgram, AMessageThatExpiredBeforeTheRestartIsAbandonedOnce) {
   std::atomic<bool> full{true};
-  Fleet fleet([&](const Seen&) {
-    return full ? Act{answer("429 Full", "Retry-After: 0.3\r\n")} : Act{answer("200 OK")};
+  SenderSetup setup([&](const ReceivedRequest&) {
+    return full ? ServerAction{httpResponse("429 Full", "Retry-After: 0.3\r\n")}
+                : ServerAction{httpResponse("200 OK")};
   });
   {
-    Client client(fleet.program.port());
-    ASSERT_EQ("+OK", client.put("short", "payment", 7, "x", 600));
-    ASSERT_TRUE(fleet.endpoint.waitFor(1));
+    SenderClient client(setup.program.port());
+    ASSERT_EQ("+OK", client.submit("short", "payment", 7, "x", 600));
+    ASSERT_TRUE(setup.endpoint.waitForRequests(1));
   }
-  fleet.program.kill();
+  setup.program.kill();
   full = false;
   std::this_thread::sleep_for(700ms);
-  fleet.program.start();
-  ASSERT_TRUE(fleet.agent.waitForNotice("short"));
-  EXPECT_EQ(1u, fleet.agent.noticeCount());
-  EXPECT_EQ(1u, fleet.endpoint.seen().size());
+  setup.program.start();
+  ASSERT_TRUE(setup.discovery.waitForNotice("short"));
+  EXPECT_EQ(1u, setup.discovery.noticeCount());
+  EXPECT_EQ(1u, setup.endpoint.requests().size());
 }
 
 // With `durable` it serves as without, and resumes accepted messages after a kill.
 TEST(SenderProgram, ServesAndResumesWithADurableJournal) {
   TempFolder folder;
-  Agent agent;
+  DiscoveryServer discovery;
   std::atomic<bool> silent{true};
-  Server endpoint([&](const Seen&) { return silent ? Act{} : Act{answer("200 OK")}; });
-  Program program(folder.path(), agent.address(), json::array({listed("e1", endpoint.address(), 7)}), 3,
-                  plainSettings(), nullptr, {{"durable", true}});
+  HttpServer endpoint(
+      [&](const ReceivedRequest&) { return silent ? ServerAction{} : ServerAction{httpResponse("200 OK")}; });
+  SenderProgram program(folder.path(), discovery.address(),
+                        json::array({endpointEntry("e1", endpoint.address(), 7)}), 3, testSettings(), nullptr,
+                        {{"durable", true}});
   {
-    Client client(program.port());
-    ASSERT_EQ("+OK", client.put("safe", "notice", 7));
-    ASSERT_TRUE(endpoint.waitFor(1));
+    SenderClient client(program.port());
+    ASSERT_EQ("+OK", client.submit("safe", "notice", 7));
+    ASSERT_TRUE(endpoint.waitForRequests(1));
   }
   program.kill();
   silent = false;
   program.start();
-  ASSERT_TRUE(endpoint.waitFor(2));
+  ASSERT_TRUE(endpoint.waitForRequests(2));
 }
 
 // A message that is not idempotent is retried if its attempt is known not to have run, also after a kill.
 TEST(SenderProgram, AnAttemptThatNeverRanIsRememberedAcrossAKill) {
   std::atomic<bool> full{true};
-  Fleet fleet([&](const Seen&) {
-    return full ? Act{answer("429 Full", "Retry-After: 4\r\n")} : Act{answer("200 OK")};
+  SenderSetup setup([&](const ReceivedRequest&) {
+    return full ? ServerAction{httpResponse("429 Full", "Retry-After: 4\r\n")}
+                : ServerAction{httpResponse("200 OK")};
   });
   {
-    Client client(fleet.program.port());
-    ASSERT_EQ("+OK", client.put("unsafe", "payment", 7));
-    ASSERT_TRUE(fleet.endpoint.waitFor(1));
+    SenderClient client(setup.program.port());
+    ASSERT_EQ("+OK", client.submit("unsafe", "payment", 7));
+    ASSERT_TRUE(setup.endpoint.waitForRequests(1));
     // A copy of the journal shows when the outcome has been written.
     ASSERT_TRUE(eventually([&] {
       TempFolder copy;
-      std::filesystem::copy(fleet.folder.path(), copy.path(), std::filesystem::copy_options::recursive);
+      std::filesystem::copy(setup.folder.path(), copy.path(), std::filesystem::copy_options::recursive);
       const Journal j(copy.path(), {3'000'000});
       const auto& open = j.recovered().entries;
       return open.size() == 1 && open[0].attempts.size() == 1 && open[0].attempts[0].never_ran;
     }));
   }
-  fleet.program.kill();
+  setup.program.kill();
   full = false;
-  fleet.program.start();
-  ASSERT_TRUE(fleet.endpoint.waitFor(2));
-  EXPECT_EQ(0u, fleet.agent.noticeCount());
+  setup.program.start();
+  ASSERT_TRUE(setup.endpoint.waitForRequests(2));
+  EXPECT_EQ(0u, setup.discovery.noticeCount());
 }
 
 // A notice stays pending until it is answered 204, also across a kill.
 TEST(SenderProgram, ANoticeStaysPendingAcrossAKill) {
-  Fleet fleet(stayOut);
-  fleet.agent.refuse_notices = true;
+  SenderSetup setup(neverRespond);
+  setup.discovery.refuse_notices = true;
   {
-    Client client(fleet.program.port());
-    ASSERT_EQ("+OK", client.put("short", "payment", 7, "x", 300));
-    ASSERT_TRUE(fleet.endpoint.waitFor(1));
+    SenderClient client(setup.program.port());
+    ASSERT_EQ("+OK", client.submit("short", "payment", 7, "x", 300));
+    ASSERT_TRUE(setup.endpoint.waitForRequests(1));
   }
-  ASSERT_TRUE(
-      eventually([&] { return fleet.agent.refused > 0; }));  // it has expired, and its notice was rejected
-  fleet.program.kill();
-  fleet.agent.refuse_notices = false;
-  fleet.program.start();
-  ASSERT_TRUE(fleet.agent.waitForNotice("short"));
-  EXPECT_EQ("given_up", fleet.agent.notice("short")["outcome"]);
+  ASSERT_TRUE(eventually(
+      [&] { return setup.discovery.refused > 0; }));  // it has expired, and its notice was rejected
+  setup.program.kill();
+  setup.discovery.refuse_notices = false;
+  setup.program.start();
+  ASSERT_TRUE(setup.discovery.waitForNotice("short"));
+  EXPECT_EQ("given_up", setup.discovery.notice("short")["outcome"]);
 }
 
 // An endpoint that a full list leaves out is removed: a call whose connection to it is not up yet is retried
@@ -292,43 +298,45 @@
 TEST(SenderProgram, AFullListWithoutAnEndpointWithdrawsItsCalls) {
   const StuckListener stuck;
   TempFolder folder;
-  loopback::Agent agent;
-  Server other(deliver);
-  json settings = plainSettings();
+  DiscoveryServer discovery;
+  HttpServer other(respondOk);
+  json settings = testSettings();
   settings["Ceilings"]["DialTimeoutMs"] = 100000.0;
   for (json& c : settings["Categories"]) {
     c["AimMs"] = c["DeadlineMs"];  // a first call may take all its time
   }
   settings["Ceilings"]["ParallelTries"] = false;
-  Program program(folder.path(), agent.address(), json::array({listed("e1", stuck.address(), 7)}), 3,
-                  settings);
-  ASSERT_TRUE(agent.waitForWatch(1));
-  Client client(program.port());
-  ASSERT_EQ("+OK", client.put("m", "notice", 7));
-  agent.tell(json::array({listed("e2", other.address(), 7)}), true);
-  EXPECT_TRUE(other.waitFor(1));
+  SenderProgram program(folder.path(), discovery.address(),
+                        json::array({endpointEntry("e1", stuck.address(), 7)}), 3, settings);
+  ASSERT_TRUE(discovery.waitForWatch(1));
+  SenderClient client(program.port());
+  ASSERT_EQ("+OK", client.submit("m", "notice", 7));
+  discovery.publish(json::array({endpointEntry("e2", other.address(), 7)}), true);
+  EXPECT_TRUE(other.waitForRequests(1));
 }
 
 // A restart ends a Retry-After: messages that waited for it without an attempt are sent at once.
 TEST(SenderProgram, ARestartEndsARetryAfterAndSendsWhatWaitedForIt) {
   TempFolder folder;
-  loopback::Agent agent;
+  DiscoveryServer discovery;
   std::atomic<bool> shut{true};
-  Server endpoint([&](const Seen&) {
-    return shut ? Act{answer("429 Full", "Retry-After: 20\r\n")} : Act{answer("200 OK")};
+  HttpServer endpoint([&](const ReceivedRequest&) {
+    return shut ? ServerAction{httpResponse("429 Full", "Retry-After: 20\r\n")}
+                : ServerAction{httpResponse("200 OK")};
   });
-  Program program(folder.path(), agent.address(), json::array({listed("e1", endpoint.address(), 7)}));
-  Client client(program.port());
-  ASSERT_EQ("+OK", client.put("throttled", "notice", 7));
-  ASSERT_TRUE(endpoint.waitFor(1));
+  SenderProgram program(folder.path(), discovery.address(),
+                        json::array({endpointEntry("e1", endpoint.address(), 7)}));
+  SenderClient client(program.port());
+  ASSERT_EQ("+OK", client.submit("throttled", "notice", 7));
+  ASSERT_TRUE(endpoint.waitForRequests(1));
   const auto throttled_at = std::chrono::steady_clock::now();
-  ASSERT_EQ("+OK", client.put("without-attempt", "notice", 7));
+  ASSERT_EQ("+OK", client.submit("without-attempt", "notice", 7));
   shut = false;
   program.kill();
   program.start();
-  EXPECT_TRUE(endpoint.waitFor(2));
+  EXPECT_TRUE(endpoint.waitForRequests(2));
   EXPECT_TRUE(eventually([&] {
-    for (const Seen& request : endpoint.seen()) {
+    for (const ReceivedRequest& request : endpoint.requests()) {
       if (request.field("X-Txn") == "without-attempt")
         return true;
     }
@@ -340,20 +348,20 @@
 // A drain holds from the turn in which it is received, also for the next process, whose configuration is
 // older.
 TEST(SenderProgram, AnEndpointDrainIsKeptAcrossAKill) {
-  Fleet fleet(deliver);
-  Server other(deliver);
-  fleet.agent.tell(json::array(
-      {listed("e1", fleet.endpoint.address(), 7, "Terminating"), listed("e2", other.address(), 7)}));
-  ASSERT_TRUE(fleet.agent.waitForWatch(2));
+  SenderSetup setup(respondOk);
+  HttpServer other(respondOk);
+  setup.discovery.publish(json::array({endpointEntry("e1", setup.endpoint.address(), 7, "Terminating"),
+                                       endpointEntry("e2", other.address(), 7)}));
+  ASSERT_TRUE(setup.discovery.waitForWatch(2));
   for (int life = 0; life < 2; ++life) {
-    Client client(fleet.program.port());
+    SenderClient client(setup.program.port());
     for (int i = 0; i < 5; ++i) {
-      ASSERT_EQ("+OK", client.put("m" + std::to_string(10 * life + i), "notice", 7));
+      ASSERT_EQ("+OK", client.submit("m" + std::to_string(10 * life + i), "notice", 7));
     }
-    ASSERT_TRUE(other.waitFor(static_cast<std::size_t>(5 * (life + 1))));
-    EXPECT_EQ(0u, fleet.endpoint.seen().size());
-    fleet.program.kill();
-    fleet.program.start();
+    ASSERT_TRUE(other.waitForRequests(static_cast<std::size_t>(5 * (life + 1))));
+    EXPECT_EQ(0u, setup.endpoint.requests().size());
+    setup.program.kill();
+    setup.program.start();
   }
 }
 
@@ -362,18 +370,19 @@
   const auto now = [] { return std::chrono::steady_clock::now(); };
   std::mutex mutex;
   std::vector<std::chrono::steady_clock::time_point> asked;
-  Server endpoint(deliver), rejecting([&](const Seen&) {
+  HttpServer endpoint(respondOk), rejecting([&](const ReceivedRequest&) {
     std::lock_guard<std::mutex> lock(mutex);
     asked.push_back(now());
-    return Act{answer("503 Busy")};
+    return ServerAction{httpResponse("503 Busy")};
   });
   TempFolder folder;
-  Program program(folder.path(), rejecting.address(), json::array({listed("e1", endpoint.address(), 7)}));
-  EXPECT_EQ("OK ready", program.operate("READY"));
-  Client client(program.port());
-  ASSERT_EQ("+OK", client.put("m", "notice", 7));
-  ASSERT_TRUE(endpoint.waitFor(1));
-  ASSERT_TRUE(rejecting.waitFor(6));
+  SenderProgram program(folder.path(), rejecting.address(),
+                        json::array({endpointEntry("e1", endpoint.address(), 7)}));
+  EXPECT_EQ("OK ready", program.command("READY"));
+  SenderClient client(program.port());
+  ASSERT_EQ("+OK", client.submit("m", "notice", 7));
+  ASSERT_TRUE(endpoint.waitForRequests(1));
+  ASSERT_TRUE(rejecting.waitForRequests(6));
   std::lock_guard<std::mutex> lock(mutex);
   for (std::size_t i = 1; i < 5; ++i) {
     EXPECT_GE(asked[i] - asked[i - 1], 50ms * (1 << (i - 1))) << i;
@@ -383,23 +392,24 @@
 // SIGHUP: the endpoint list is watched and notices are sent at the address that the file names now; a file
 // that can't be used changes nothing.
 TEST(SenderProgram, SighupSwitchesToTheDiscoveryThatTheFileNames) {
-  Fleet fleet(deliver);
-  Client client(fleet.program.port());
-  ASSERT_EQ("+OK", client.put("before", "order", 7));
-  ASSERT_TRUE(fleet.agent.waitForWatch(1));
-  fleet.program.reload("nonsense");
-  Agent moved;
-  Server other(
-      [](const Seen& request) { return request.body == "unanswered" ? Act{} : Act{answer("200 OK")}; });
-  moved.tell(json::array(
-      {listed("e1", fleet.endpoint.address(), 7, "Terminating"), listed("e2", other.address(), 7)}));
-  fleet.program.reload(moved.address());
+  SenderSetup setup(respondOk);
+  SenderClient client(setup.program.port());
+  ASSERT_EQ("+OK", client.submit("before", "order", 7));
+  ASSERT_TRUE(setup.discovery.waitForWatch(1));
+  setup.program.reload("nonsense");
+  DiscoveryServer moved;
+  HttpServer other([](const ReceivedRequest& request) {
+    return request.body == "unanswered" ? ServerAction{} : ServerAction{httpResponse("200 OK")};
+  });
+  moved.publish(json::array({endpointEntry("e1", setup.endpoint.address(), 7, "Terminating"),
+                             endpointEntry("e2", other.address(), 7)}));
+  setup.program.reload(moved.address());
   ASSERT_TRUE(moved.waitForWatch(2));
-  ASSERT_EQ("+OK", client.put("after", "order", 7));
-  ASSERT_TRUE(other.waitFor(1));
-  ASSERT_EQ("+OK", client.put("short", "payment", 7, "unanswered", 300));
+  ASSERT_EQ("+OK", client.submit("after", "order", 7));
+  ASSERT_TRUE(other.waitForRequests(1));
+  ASSERT_EQ("+OK", client.submit("short", "payment", 7, "unanswered", 300));
   ASSERT_TRUE(moved.waitForNotice("short"));
-  EXPECT_EQ(0u, fleet.agent.noticeCount());
+  EXPECT_EQ(0u, setup.discovery.noticeCount());
 }
 
 // A restart, by SIGKILL and by SIGTERM, with a table full of messages that wait for a Retry-After, for a
@@ -410,9 +420,9 @@
     std::atomic<bool> down{true};
     std::mutex mutex;
     std::set<std::string> may_have_run, delivered;
-    Server throttled([&](const Seen& request) {
+    HttpServer throttled([&](const ReceivedRequest& request) {
       if (down) {
-        return Act{answer("429 Full", "Retry-After: 20\r\n")};
+        return ServerAction{httpResponse("429 Full", "Retry-After: 20\r\n")};
       }
       std::lock_guard<std::mutex> lock(mutex);
       const std::string id = request.field("X-Txn");
@@ -420,67 +430,67 @@
       if (id != "throttled0" && id.rfind("throttled", 0) == 0) {
         EXPECT_TRUE(first) << id;  // payments
       }
-      return Act{answer("200 OK")};
+      return ServerAction{httpResponse("200 OK")};
     });
-    Server unavailable([&](const Seen& request) {
+    HttpServer unavailable([&](const ReceivedRequest& request) {
       std::lock_guard<std::mutex> lock(mutex);
       EXPECT_EQ(0u, may_have_run.count(request.field("X-Txn"))) << request.field("X-Txn");
       if (down) {
         may_have_run.insert(request.field("X-Txn"));
-        return Act{"", false, true, false};
+        return ServerAction{"", false, true};
       }
       delivered.insert(request.field("X-Txn"));
-      return Act{answer("200 OK")};
+      return ServerAction{httpResponse("200 OK")};
     });
-    Server late([&](const Seen& request) {
+    HttpServer late([&](const ReceivedRequest& request) {
       std::lock_guard<std::mutex> lock(mutex);
       delivered.insert(request.field("X-Txn"));
-      return Act{answer("200 OK")};
+      return ServerAction{httpResponse("200 OK")};
     });
     const StuckListener stuck;
     TempFolder folder;
-    loopback::Agent agent;
-    json settings = plainSettings();
+    DiscoveryServer discovery;
+    json settings = testSettings();
     settings["Ceilings"]["MaxOpen"] = 20;
     settings["Ceilings"]["DialTimeoutMs"] = 20000.0;
     settings["Rules"]["RampTimeMs"] = 1000.0;  // what was unavailable is paced for so long
-    Program program(
-        folder.path(), agent.address(),
-        json::array({listed("throttled", throttled.address(), 7),
-                     listed("unavailable", unavailable.address(), 8), listed("late", stuck.address(), 9)}),
-        3, settings);
-    ASSERT_TRUE(agent.waitForWatch(1));
+    SenderProgram program(folder.path(), discovery.address(),
+                          json::array({endpointEntry("throttled", throttled.address(), 7),
+                                       endpointEntry("unavailable", unavailable.address(), 8),
+                                       endpointEntry("late", stuck.address(), 9)}),
+                          3, settings);
+    ASSERT_TRUE(discovery.waitForWatch(1));
     std::vector<std::string> accepted;
     {
-      Client client(program.port());
-      const auto put = [&](const std::string& id, const char* cls, int dest) {
-        if (client.put(id, cls, dest) == "+OK") {
+      SenderClient client(program.port());
+      const auto submit = [&](const std::string& id, const char* cls, int dest) {
+        if (client.submit(id, cls, dest) == "+OK") {
           accepted.push_back(id);
         }
       };
-      put("throttled0", "notice", 7);
-      ASSERT_TRUE(throttled.waitFor(1));
-      put("unavailable0", "payment", 8);
-      ASSERT_TRUE(unavailable.waitFor(1));
+      submit("throttled0", "notice", 7);
+      ASSERT_TRUE(throttled.waitForRequests(1));
+      submit("unavailable0", "payment", 8);
+      ASSERT_TRUE(unavailable.waitForRequests(1));
       for (int i = 1; i < 6; ++i) {
-        put("throttled" + std::to_string(i), "payment", 7);
+        submit("throttled" + std::to_string(i), "payment", 7);
       }
       for (int i = 1; i < 6; ++i) {
-        put("unavailable" + std::to_string(i), "payment", 8);
+        submit("unavailable" + std::to_string(i), "payment", 8);
       }
       for (int i = 0; i < 3; ++i) {
-        put("late" + std::to_string(i), "order", 9);
+        submit("late" + std::to_string(i), "order", 9);
       }
     }
     ASSERT_GE(accepted.size(), 12u);
     program.signal(how);
     program.wait();
     down = false;
-    agent.tell(json::array({listed("late", late.address(), 9)}));
+    discovery.publish(json::array({endpointEntry("late", late.address(), 9)}));
     program.start();
-    Client client(program.port());
+    SenderClient client(program.port());
     for (int i = 0; i < 20; ++i) {
-      client.put("new" + std::to_string(i), "notice", 7);  // a full table again
+      client.submit("new" + std::to_string(i), "notice", 7);  // a full table again
     }
     for (const std::string& id : accepted) {
       EXPECT_TRUE(eventually([&] {
@@ -491,7 +501,7 @@
           if (may_have_run.count(id) == 0)
             return false;
         }
-        return !agent.notice(id).is_null();
+        return !discovery.notice(id).is_null();
       })) << id
           << " after signal " << how;
     }
@@ -506,19 +516,19 @@
 // unanswered, as a watch without updates does.
 class ScriptedDiscovery {
  public:
-  explicit ScriptedDiscovery(std::vector<Act> answers)
-      : answers_(std::move(answers)), server_([this](const Seen& request) {
+  explicit ScriptedDiscovery(std::vector<ServerAction> answers)
+      : answers_(std::move(answers)), server_([this](const ReceivedRequest& request) {
           const std::size_t call = calls_++;
           if (request.head.rfind("POST", 0) == 0) {
-            return Act{"HTTP/1.1 204 No Content\r\n\r\n"};
+            return ServerAction{"HTTP/1.1 204 No Content\r\n\r\n"};
           }
           std::lock_guard<std::mutex> lock(mutex_);
           asked_.push_back(std::chrono::steady_clock::now());
-          return call < answers_.size() ? answers_[call] : Act{};
+          return call < answers_.size() ? answers_[call] : ServerAction{};
         }) {}
   std::string address() const { return server_.address(); }
-  bool waitFor(std::size_t calls) { return server_.waitFor(calls); }
-  std::vector<Seen> seen() { return server_.seen(); }
+  bool waitForRequests(std::size_t calls) { return server_.waitForRequests(calls); }
+  std::vector<ReceivedRequest> requests() { return server_.requests(); }
   std::vector<std::chrono::steady_clock::duration> gaps() {
     std::lock_guard<std::mutex> lock(mutex_);
     std::vector<std::chrono::steady_clock::duration> all;
@@ -529,124 +539,129 @@
   }
 
  private:
-  std::vector<Act> answers_;
+  std::vector<ServerAction> answers_;
   std::mutex mutex_;
   std::vector<std::chrono::steady_clock::time_point> asked_;
   std::atomic<std::size_t> calls_{0};
-  Server server_;
+  HttpServer server_;
 };
 
 // A list in which destination 7 has moved from `from` to `to`, formatted in several lines.
-std::string movedList(const Server& from, const Server& to) {
+std::string movedList(const HttpServer& from, const HttpServer& to) {
   return json{{"index", 9},
               {"snapshot", true},
-              {"endpoints", {listed("e1", from.address(), 7, "Terminating"), listed("e2", to.address(), 7)}}}
+              {"endpoints",
+               {endpointEntry("e1", from.address(), 7, "Terminating"), endpointEntry("e2", to.address(), 7)}}}
       .dump(2);
 }
-Act halfOf(const Act& whole) {
+ServerAction halfOf(const ServerAction& whole) {
   return {whole.bytes.substr(0, whole.bytes.size() - 40)};
 }
 
 // A watch that stalls, at once or in the middle of its answer, is opened again on another connection, and the
 // update that it missed applies. Both cases run at once, as each takes the time-out of a watch.
 TEST(SenderProgram, AWatchThatStallsIsOpenedAgain) {
-  Server from(deliver), to(deliver);
-  const Act moved{answer("200 OK", "", movedList(from, to))};
-  ScriptedDiscovery silent({Act{}, moved}), half({halfOf(moved), moved});
+  HttpServer from(respondOk), to(respondOk);
+  const ServerAction moved{httpResponse("200 OK", "", movedList(from, to))};
+  ScriptedDiscovery silent({ServerAction{}, moved}), half({halfOf(moved), moved});
   TempFolder folder, other_folder;
-  const json known = json::array({listed("e1", from.address(), 7)});
-  Program one(folder.path(), silent.address(), known), two(other_folder.path(), half.address(), known);
+  const json known = json::array({endpointEntry("e1", from.address(), 7)});
+  SenderProgram one(folder.path(), silent.address(), known), two(other_folder.path(), half.address(), known);
   for (ScriptedDiscovery* d : {&silent, &half}) {
-    ASSERT_TRUE(d->waitFor(3));  // the broken one, the new one, and the next
-    EXPECT_NE(d->seen()[0].connection, d->seen()[1].connection);
-    EXPECT_NE(std::string::npos, d->seen()[2].head.find("from=9&")) << d->seen()[2].head;
+    ASSERT_TRUE(d->waitForRequests(3));  // the broken one, the new one, and the next
+    EXPECT_NE(d->requests()[0].connection, d->requests()[1].connection);
+    EXPECT_NE(std::string::npos, d->requests()[2].head.find("from=9&")) << d->requests()[2].head;
   }
   std::size_t sent = 0;
-  for (const Program* p : {&one, &two}) {
-    Client client(p->port());
-    ASSERT_EQ("+OK", client.put("m" + std::to_string(p->pid()), "notice", 7));
-    EXPECT_TRUE(to.waitFor(++sent));
+  for (const SenderProgram* p : {&one, &two}) {
+    SenderClient client(p->port());
+    ASSERT_EQ("+OK", client.submit("m" + std::to_string(p->pid()), "notice", 7));
+    EXPECT_TRUE(to.waitForRequests(++sent));
   }
-  EXPECT_EQ(0u, from.seen().size());
+  EXPECT_EQ(0u, from.requests().size());
 }
 
 // SIGHUP while the watch stalls, and the new discovery stalls in the middle of its first answer: it is asked
 // again for the full list.
 TEST(SenderProgram, SighupReplacesAStalledWatchByADiscoveryThatStallsToo) {
-  Server from(deliver), to(deliver);
-  const Act moved{answer("200 OK", "", movedList(from, to))};
+  HttpServer from(respondOk), to(respondOk);
+  const ServerAction moved{httpResponse("200 OK", "", movedList(from, to))};
   ScriptedDiscovery silent({}), half({halfOf(moved), moved});
   TempFolder folder;
-  Program program(folder.path(), silent.address(), json::array({listed("e1", from.address(), 7)}));
-  ASSERT_TRUE(silent.waitFor(1));
+  SenderProgram program(folder.path(), silent.address(),
+                        json::array({endpointEntry("e1", from.address(), 7)}));
+  ASSERT_TRUE(silent.waitForRequests(1));
   program.reload(half.address());
-  ASSERT_TRUE(half.waitFor(3));
+  ASSERT_TRUE(half.waitForRequests(3));
   for (std::size_t i = 0; i < 2; ++i) {
-    EXPECT_EQ(std::string::npos, half.seen()[i].head.find("from=")) << half.seen()[i].head;
+    EXPECT_EQ(std::string::npos, half.requests()[i].head.find("from=")) << half.requests()[i].head;
   }
-  Client client(program.port());
-  ASSERT_EQ("+OK", client.put("m", "notice", 7));
-  EXPECT_TRUE(to.waitFor(1));
-  EXPECT_EQ(0u, from.seen().size());
-  EXPECT_EQ(1u, silent.seen().size());
+  SenderClient client(program.port());
+  ASSERT_EQ("+OK", client.submit("m", "notice", 7));
+  EXPECT_TRUE(to.waitForRequests(1));
+  EXPECT_EQ(0u, from.requests().size());
+  EXPECT_EQ(1u, silent.requests().size());
 }
 
 // The backoff that has grown for a discovery that fails is not kept for the one that SIGHUP names: it starts
 // from the first pause again. An update counts as received 4 s after the signal.
 TEST(SenderProgram, BackoffStartsAgainAtTheDiscoveryThatSighupNames) {
-  const std::vector<Act> rejections(20, Act{answer("503 Busy")});
+  const std::vector<ServerAction> rejections(20, ServerAction{httpResponse("503 Busy")});
   ScriptedDiscovery before(rejections), after(rejections);
   TempFolder folder;
-  Server endpoint(deliver);
-  Program program(folder.path(), before.address(), json::array({listed("e1", endpoint.address(), 7)}));
-  ASSERT_TRUE(before.waitFor(6));
+  HttpServer endpoint(respondOk);
+  SenderProgram program(folder.path(), before.address(),
+                        json::array({endpointEntry("e1", endpoint.address(), 7)}));
+  ASSERT_TRUE(before.waitForRequests(6));
   program.reload(after.address());
-  ASSERT_TRUE(after.waitFor(7));
+  ASSERT_TRUE(after.waitForRequests(7));
   const auto gaps = after.gaps();
   EXPECT_GT(gaps[5], 3 * gaps[0]);  // each is within half and one and a half of twice the one before
 }
 
 // A discovery that returns and stalls in the middle of its first answer.
 TEST(SenderProgram, ADiscoveryThatReturnsAndStallsIsPolledAgain) {
-  Server from(deliver), to(deliver);
-  const Act moved{answer("200 OK", "", movedList(from, to))}, away{answer("503 Busy")};
+  HttpServer from(respondOk), to(respondOk);
+  const ServerAction moved{httpResponse("200 OK", "", movedList(from, to))}, away{httpResponse("503 Busy")};
   // A full list that can't be read: from then on the full list is asked for, with the time-out of such a
   // request.
-  const Act spoilt{answer("200 OK", "", "{\"index\":")};
-  ScriptedDiscovery discovery({spoilt, away, Act{"", false, true, false}, halfOf(moved), moved});
+  const ServerAction spoilt{httpResponse("200 OK", "", "{\"index\":")};
+  ScriptedDiscovery discovery({spoilt, away, ServerAction{"", false, true}, halfOf(moved), moved});
   TempFolder folder;
-  Program program(folder.path(), discovery.address(), json::array({listed("e1", from.address(), 7)}));
-  ASSERT_TRUE(discovery.waitFor(6));
-  EXPECT_NE(std::string::npos, discovery.seen()[5].head.find("from=9&")) << discovery.seen()[5].head;
-  Client client(program.port());
-  ASSERT_EQ("+OK", client.put("m", "notice", 7));
-  EXPECT_TRUE(to.waitFor(1));
-  EXPECT_EQ(0u, from.seen().size());
+  SenderProgram program(folder.path(), discovery.address(),
+                        json::array({endpointEntry("e1", from.address(), 7)}));
+  ASSERT_TRUE(discovery.waitForRequests(6));
+  EXPECT_NE(std::string::npos, discovery.requests()[5].head.find("from=9&")) << discovery.requests()[5].head;
+  SenderClient client(program.port());
+  ASSERT_EQ("+OK", client.submit("m", "notice", 7));
+  EXPECT_TRUE(to.waitForRequests(1));
+  EXPECT_EQ(0u, from.requests().size());
 }
 
 // SIGTERM while the watch stalls: the process does not wait for it.
 TEST(SenderProgram, SigtermDoesNotWaitForAStalledWatch) {
-  Server endpoint(deliver);
+  HttpServer endpoint(respondOk);
   ScriptedDiscovery silent({});
   TempFolder folder;
-  Program program(folder.path(), silent.address(), json::array({listed("e1", endpoint.address(), 7)}));
-  ASSERT_TRUE(silent.waitFor(1));
-  Client client(program.port());
-  ASSERT_EQ("+OK", client.put("m", "payment", 7));
-  ASSERT_TRUE(endpoint.waitFor(1));
+  SenderProgram program(folder.path(), silent.address(),
+                        json::array({endpointEntry("e1", endpoint.address(), 7)}));
+  ASSERT_TRUE(silent.waitForRequests(1));
+  SenderClient client(program.port());
+  ASSERT_EQ("+OK", client.submit("m", "payment", 7));
+  ASSERT_TRUE(endpoint.waitForRequests(1));
   program.signal(SIGTERM);
   EXPECT_TRUE(client.ended());
   const int status = program.wait();
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
-  EXPECT_EQ(1u, silent.seen().size());
+  EXPECT_EQ(1u, silent.requests().size());
 }
 
 TEST(SenderProgram, AFullDiskBudgetRejectsNewMessagesAndKeepsOldOnes) {
-  Fleet fleet(stayOut, 0.3);
-  Client client(fleet.program.port());
+  SenderSetup setup(neverRespond, 0.3);
+  SenderClient client(setup.program.port());
   int accepted = 0, refused = 0;
   for (int i = 0; i < 40; ++i) {
-    const std::string reply = client.put("m" + std::to_string(i), "notice", 7, std::string(8000, 'x'));
+    const std::string reply = client.submit("m" + std::to_string(i), "notice", 7, std::string(8000, 'x'));
     if (reply == "+OK") {
       ++accepted;
     } else if (reply.rfind("-BUSY", 0) == 0) {
@@ -657,7 +672,7 @@
   EXPECT_GT(accepted, 3);
   EXPECT_GT(refused, 3);
   std::uint64_t on_disk = 0;
-  for (const auto& e : std::filesystem::directory_iterator(fleet.folder.path())) {
+  for (const auto& e : std::filesystem::directory_iterator(setup.folder.path())) {
     on_disk += (e.file_size() + 511) / 512 * 512;
   }
   EXPECT_LE(on_disk, 300'000u);
@@ -672,19 +687,19 @@
   std::condition_variable more;
   int asked = 0;
   bool stop = false;
-  Fleet fleet([&](const Seen& request) {
+  SenderSetup setup([&](const ReceivedRequest& request) {
     std::unique_lock<std::mutex> lock(mutex);
-    more.wait_for(lock, kLong, [&, mine = asked] { return stop || asked >= mine + 2; });
-    return deliver(request);
+    more.wait_for(lock, kWaitLimit, [&, mine = asked] { return stop || asked >= mine + 2; });
+    return respondOk(request);
   });
   const auto wait_for_asked = [&](int count) {
     std::unique_lock<std::mutex> lock(mutex);
-    EXPECT_TRUE(more.wait_for(lock, kLong, [&, from = asked] { return asked >= from + count; }));
+    EXPECT_TRUE(more.wait_for(lock, kWaitLimit, [&, from = asked] { return asked >= from + count; }));
   };
   std::vector<std::string> accepted;
   std::thread traffic([&] {
     for (int i = 0;; ++i) {
-      Client client(fleet.program.port());
+      SenderClient client(setup.program.port());
       const std::string id = "m" + std::to_string(i);
       {
         std::lock_guard<std::mutex> lock(mutex);
@@ -699,16 +714,16 @@
       if (!client.connected()) {
         continue;
       }
-      if (client.put(id, "payment", 7) == "+OK") {
+      if (client.submit(id, "payment", 7) == "+OK") {
         accepted.push_back(id);
       }
       std::this_thread::sleep_for(5ms);
     }
   });
   wait_for_asked(20);
-  Client idle(fleet.program.port());
+  SenderClient idle(setup.program.port());
   ASSERT_EQ("+PONG", idle.ask({"PING"}));
-  fleet.program.signal(SIGTERM);
+  setup.program.signal(SIGTERM);
   EXPECT_TRUE(idle.ended());  // an idle connection is closed between requests
   wait_for_asked(5);          // late ones are served
   {
@@ -717,18 +732,18 @@
   }
   more.notify_all();
   traffic.join();
-  const int status = fleet.program.wait();
+  const int status = setup.program.wait();
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
-  fleet.program.start();
-  ASSERT_TRUE(fleet.endpoint.waitFor(accepted.size()));
+  setup.program.start();
+  ASSERT_TRUE(setup.endpoint.waitForRequests(accepted.size()));
   std::map<std::string, int> sends;
-  for (const Seen& request : fleet.endpoint.seen()) {
+  for (const ReceivedRequest& request : setup.endpoint.requests()) {
     ++sends[request.field("X-Txn")];
   }
   for (const std::string& id : accepted) {
     EXPECT_EQ(1, sends[id]) << id;
   }
-  EXPECT_EQ(0u, fleet.agent.noticeCount()) << fleet.agent.allNotices();
+  EXPECT_EQ(0u, setup.discovery.noticeCount()) << setup.discovery.allNotices();
 }
 
 }  // namespace
--- a/tests/process/upgrade_test.cpp
+++ b/tests/process/upgrade_test.cpp
@@ -12,17 +12,17 @@
 
 // An endpoint whose answers can be held back, and programs on one passed socket.
 struct Upgrade {
-  Upgrade() : endpoint([this](const Seen& request) { return answerWhenAllowed(request); }) {}
+  Upgrade() : endpoint([this](const ReceivedRequest& request) { return answerWhenAllowed(request); }) {}
   ~Upgrade() { allowAnswers(); }
 
-  std::unique_ptr<Program> start() {
-    return std::make_unique<Program>(folder.path(), agent.address(),
-                                     json::array({listed("e1", endpoint.address(), 7)}), 3, plainSettings(),
-                                     &passed);
+  std::unique_ptr<SenderProgram> start() {
+    return std::make_unique<SenderProgram>(folder.path(), discovery.address(),
+                                           json::array({endpointEntry("e1", endpoint.address(), 7)}), 3,
+                                           testSettings(), &passed);
   }
-  Act answerWhenAllowed(const Seen& request) {
+  ServerAction answerWhenAllowed(const ReceivedRequest& request) {
     std::unique_lock<std::mutex> lock(mutex);
-    changed.wait_for(lock, kLong, [&] { return answers_allowed; });
+    changed.wait_for(lock, kWaitLimit, [&] { return answers_allowed; });
     return script(request);
   }
   void holdAnswers() {
@@ -36,23 +36,23 @@
   }
   std::map<std::string, int> sendCounts() {
     std::map<std::string, int> counts;
-    for (const Seen& request : endpoint.seen()) {
+    for (const ReceivedRequest& request : endpoint.requests()) {
       ++counts[request.field("X-Txn")];
     }
     return counts;
   }
 
-  Server::Script script = deliver;
+  HttpServer::Script script = respondOk;
   std::mutex mutex;
   std::condition_variable changed;
   bool answers_allowed = true;
   Listener passed;
   TempFolder folder;
-  Agent agent;
-  Server endpoint;
+  DiscoveryServer discovery;
+  HttpServer endpoint;
 };
 
-bool exitedWithSuccess(Program& p) {
+bool exitedWithSuccess(SenderProgram& p) {
   const int status = p.wait();
   return WIFEXITED(status) && WEXITSTATUS(status) == 0;
 }
@@ -61,10 +61,10 @@
 // message is sent once.
 TEST(Upgrade, UnderTrafficLosesNoMessageAndSendsNoneTwice) {
   Upgrade upgrade;
-  upgrade.script = [](const Seen&) {
+  upgrade.script = [](const ReceivedRequest&) {
     std::this_thread::sleep_for(
         20ms);  // time-outs follow the usual latency; this keeps them far above pauses of the machine
-    return Act{answer("200 OK")};
+    return ServerAction{httpResponse("200 OK")};
   };
   auto predecessor = upgrade.start();
   std::atomic<bool> stop{false};
@@ -75,16 +75,16 @@
   traffic.reserve(2);
   for (int kept = 0; kept < 2; ++kept) {
     traffic.emplace_back([&, kept] {
-      std::unique_ptr<Client> client;
+      std::unique_ptr<SenderClient> client;
       for (int i = 0; !stop; ++i) {
         const std::string id = (kept ? "k" : "n") + std::to_string(i);
         if (!kept || !client) {
-          client = std::make_unique<Client>(upgrade.passed.port);
+          client = std::make_unique<SenderClient>(upgrade.passed.port);
         }
-        std::string reply = client->put(id, "payment", 7);
+        std::string reply = client->submit(id, "payment", 7);
         if (reply.empty() && kept) {  // closed between requests
-          client = std::make_unique<Client>(upgrade.passed.port);
-          reply = client->put(id, "payment", 7);
+          client = std::make_unique<SenderClient>(upgrade.passed.port);
+          reply = client->submit(id, "payment", 7);
         }
         ++asked;
         if (reply.empty()) {
@@ -115,12 +115,12 @@
     t.join();
   }
   EXPECT_EQ(0, unanswered);
-  ASSERT_TRUE(upgrade.endpoint.waitFor(accepted.size()));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(accepted.size()));
   const auto sends = upgrade.sendCounts();
   for (const std::string& id : accepted) {
     EXPECT_EQ(1, sends.at(id)) << id;
   }
-  EXPECT_EQ(0u, upgrade.agent.noticeCount()) << upgrade.agent.allNotices();
+  EXPECT_EQ(0u, upgrade.discovery.noticeCount()) << upgrade.discovery.allNotices();
 }
 
 // The successor receives the outcomes of the calls that the predecessor has in flight; the predecessor then
@@ -129,20 +129,20 @@
   Upgrade upgrade;
   auto predecessor = upgrade.start();
   upgrade.holdAnswers();
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("out", "payment", 7));
-  ASSERT_TRUE(upgrade.endpoint.waitFor(1));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("out", "payment", 7));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(1));
   auto successor = upgrade.start();
-  EXPECT_EQ("OK ready", successor->operate("READY"));
-  EXPECT_EQ(0u, predecessor->operate("READY").find("ERR"));
-  EXPECT_EQ(0u, predecessor->operate("DRAIN").find("ERR"));
+  EXPECT_EQ("OK ready", successor->command("READY"));
+  EXPECT_EQ(0u, predecessor->command("READY").find("ERR"));
+  EXPECT_EQ(0u, predecessor->command("DRAIN").find("ERR"));
   upgrade.allowAnswers();
   EXPECT_TRUE(exitedWithSuccess(*predecessor));
   successor->kill();  // the outcomes are in its journal
   successor->start();
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("after", "payment", 7));
-  ASSERT_TRUE(upgrade.endpoint.waitFor(2));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("after", "payment", 7));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(2));
   EXPECT_EQ((std::map<std::string, int>{{"out", 1}, {"after", 1}}), upgrade.sendCounts());
-  EXPECT_EQ(0u, upgrade.agent.noticeCount());
+  EXPECT_EQ(0u, upgrade.discovery.noticeCount());
 }
 
 // Calls that the predecessor had in flight when it was killed may have run.
@@ -150,14 +150,14 @@
   Upgrade upgrade;
   auto predecessor = upgrade.start();
   upgrade.holdAnswers();
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("safe", "notice", 7));
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("unsafe", "payment", 7));
-  ASSERT_TRUE(upgrade.endpoint.waitFor(2));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("safe", "notice", 7));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("unsafe", "payment", 7));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(2));
   auto successor = upgrade.start();
   predecessor->kill();
   upgrade.allowAnswers();
-  ASSERT_TRUE(upgrade.endpoint.waitFor(3));
-  ASSERT_TRUE(upgrade.agent.waitForNotice("unsafe"));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(3));
+  ASSERT_TRUE(upgrade.discovery.waitForNotice("unsafe"));
   EXPECT_EQ((std::map<std::string, int>{{"safe", 2}, {"unsafe", 1}}), upgrade.sendCounts());
 }
 
@@ -167,43 +167,43 @@
   Upgrade upgrade;
   auto predecessor = upgrade.start();
   upgrade.holdAnswers();
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("out", "payment", 7));
-  ASSERT_TRUE(upgrade.endpoint.waitFor(1));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("out", "payment", 7));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(1));
   auto successor = upgrade.start();
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("of-the-next", "payment", 7));
-  ASSERT_TRUE(upgrade.endpoint.waitFor(2));  // it may have run
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("of-the-next", "payment", 7));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(2));  // it may have run
   successor->kill();
-  EXPECT_TRUE(eventually([&] { return predecessor->operate("READY") == "OK ready"; }));
-  ASSERT_TRUE(upgrade.agent.waitForNotice("of-the-next"));
+  EXPECT_TRUE(eventually([&] { return predecessor->command("READY") == "OK ready"; }));
+  ASSERT_TRUE(upgrade.discovery.waitForNotice("of-the-next"));
   upgrade.allowAnswers();
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("after", "payment", 7));
-  ASSERT_TRUE(upgrade.endpoint.waitFor(3));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("after", "payment", 7));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(3));
   EXPECT_EQ((std::map<std::string, int>{{"out", 1}, {"of-the-next", 1}, {"after", 1}}), upgrade.sendCounts());
   auto third = upgrade.start();
   EXPECT_TRUE(exitedWithSuccess(*predecessor));
-  EXPECT_EQ(1u, upgrade.agent.noticeCount());
+  EXPECT_EQ(1u, upgrade.discovery.noticeCount());
 }
 
 TEST(Upgrade, ARetryAfterHoldsInTheSuccessor) {
   Upgrade upgrade;
   std::atomic<Micros> throttled_at{0}, next_call{0};
   const auto now = [] { return std::chrono::steady_clock::now().time_since_epoch() / 1us; };
-  upgrade.script = [&](const Seen&) {
+  upgrade.script = [&](const ReceivedRequest&) {
     if (throttled_at == 0) {
       throttled_at = now();
-      return Act{answer("429 Full", "Retry-After: 2.5\r\n")};
+      return ServerAction{httpResponse("429 Full", "Retry-After: 2.5\r\n")};
     }
     if (next_call == 0) {
       next_call = now();
     }
-    return Act{answer("200 OK")};
+    return ServerAction{httpResponse("200 OK")};
   };
   auto predecessor = upgrade.start();
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("m", "notice", 7));
-  ASSERT_TRUE(upgrade.endpoint.waitFor(1));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("m", "notice", 7));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(1));
   auto successor = upgrade.start();
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("n", "notice", 7));
-  ASSERT_TRUE(upgrade.endpoint.waitFor(2));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("n", "notice", 7));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(2));
   EXPECT_TRUE(eventually([&] { return next_call > 0; }));
   EXPECT_GE(next_call - throttled_at, 2'500'000);
 }
@@ -214,30 +214,30 @@
   Upgrade upgrade;
   std::atomic<int> late{0};
   std::atomic<bool> answered{false};
-  upgrade.script = [&](const Seen& request) {
+  upgrade.script = [&](const ReceivedRequest& request) {
     if (request.field("X-Txn") == "old") {
       answered = true;
-      return Act{"HTTP/1.1 429 Full\r\nRetry-After: 3\r\nContent-Length: 9\r\n\r\nhalf"};
+      return ServerAction{"HTTP/1.1 429 Full\r\nRetry-After: 3\r\nContent-Length: 9\r\n\r\nhalf"};
     }
     late += answered;
-    return Act{answer("200 OK")};
+    return ServerAction{httpResponse("200 OK")};
   };
   auto predecessor = upgrade.start();
-  ASSERT_TRUE(upgrade.agent.waitForWatch(0));
+  ASSERT_TRUE(upgrade.discovery.waitForWatch(0));
   upgrade.holdAnswers();
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("old", "notice", 7));
-  ASSERT_TRUE(upgrade.endpoint.waitFor(1));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("old", "notice", 7));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(1));
   auto successor = upgrade.start();
-  ASSERT_EQ("+OK",
-            Client(upgrade.passed.port).put("before", "notice", 7));  // by the new process, which serves now
-  ASSERT_TRUE(upgrade.endpoint.waitFor(2));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port)
+                       .submit("before", "notice", 7));  // by the new process, which serves now
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(2));
   upgrade.allowAnswers();
   ASSERT_TRUE(eventually([&] { return answered.load(); }));
   std::this_thread::sleep_for(300ms);  // long past what the protocol lets through
-  const std::size_t seen = upgrade.endpoint.seen().size();
+  const std::size_t seen = upgrade.endpoint.requests().size();
   const auto from = std::chrono::steady_clock::now();
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("after", "notice", 7));
-  ASSERT_TRUE(upgrade.endpoint.waitFor(seen + 1));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("after", "notice", 7));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(seen + 1));
   EXPECT_GE(std::chrono::steady_clock::now() - from, 2s);
 }
 
@@ -247,28 +247,30 @@
 TEST(Upgrade, ADrainOrRetryAfterThatTheSuccessorReceivesHoldsForCallsOfThePredecessor) {
   for (const bool drain : {true, false}) {
     const StuckListener stuck;
-    Server full([](const Seen&) { return Act{answer("429 Full", "Retry-After: 100\r\n")}; });
+    HttpServer full([](const ReceivedRequest&) {
+      return ServerAction{httpResponse("429 Full", "Retry-After: 100\r\n")};
+    });
     TempFolder folder;
-    loopback::Agent agent;
+    DiscoveryServer discovery;
     Listener passed;
-    json settings = plainSettings();
+    json settings = testSettings();
     settings["Ceilings"]["DialTimeoutMs"] = 100000.0;
     for (json& c : settings["Categories"]) {
       c["AimMs"] = c["DeadlineMs"] = 100000.0;  // so long may a call take
     }
-    const json known = json::array({listed("stuck", stuck.address(), 7)});
-    Program predecessor(folder.path(), agent.address(), known, 3, settings, &passed);
-    ASSERT_TRUE(agent.waitForWatch(1));
-    ASSERT_EQ("+OK", Client(passed.port).put("old", "notice", 7, "x", 100000));
-    Program successor(folder.path(), agent.address(), known, 3, settings, &passed);
-    ASSERT_TRUE(eventually([&] { return successor.operate("READY") == "OK ready"; }));
+    const json known = json::array({endpointEntry("stuck", stuck.address(), 7)});
+    SenderProgram predecessor(folder.path(), discovery.address(), known, 3, settings, &passed);
+    ASSERT_TRUE(discovery.waitForWatch(1));
+    ASSERT_EQ("+OK", SenderClient(passed.port).submit("old", "notice", 7, "x", 100000));
+    SenderProgram successor(folder.path(), discovery.address(), known, 3, settings, &passed);
+    ASSERT_TRUE(eventually([&] { return successor.command("READY") == "OK ready"; }));
     if (drain) {
-      agent.tell(json::array({listed("stuck", stuck.address(), 7, "Terminating")}));
+      discovery.publish(json::array({endpointEntry("stuck", stuck.address(), 7, "Terminating")}));
     } else {
-      agent.tell(json::array({listed("full", full.address(), 7)}));
-      ASSERT_TRUE(agent.waitForWatch(2));
-      ASSERT_EQ("+OK", Client(passed.port).put("new", "notice", 7, "x", 100000));
-      ASSERT_TRUE(full.waitFor(1));
+      discovery.publish(json::array({endpointEntry("full", full.address(), 7)}));
+      ASSERT_TRUE(discovery.waitForWatch(2));
+      ASSERT_EQ("+OK", SenderClient(passed.port).submit("new", "notice", 7, "x", 100000));
+      ASSERT_TRUE(full.waitForRequests(1));
     }
     const auto ended = [&] {
       siginfo_t info{};
@@ -285,16 +287,16 @@
   Upgrade upgrade;
   auto predecessor = upgrade.start();
   upgrade.holdAnswers();
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("unsafe", "payment", 7));
-  ASSERT_TRUE(upgrade.endpoint.waitFor(1));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("unsafe", "payment", 7));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(1));
   predecessor->signal(SIGSTOP);
   auto successor = upgrade.start();
   int status = predecessor->wait();
   EXPECT_TRUE(WIFSIGNALED(status));
-  ASSERT_TRUE(upgrade.agent.waitForNotice("unsafe"));
+  ASSERT_TRUE(upgrade.discovery.waitForNotice("unsafe"));
   upgrade.allowAnswers();
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("after", "payment", 7));
-  ASSERT_TRUE(upgrade.endpoint.waitFor(2));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("after", "payment", 7));
+  ASSERT_TRUE(upgrade.endpoint.waitForRequests(2));
   EXPECT_EQ((std::map<std::string, int>{{"unsafe", 1}, {"after", 1}}), upgrade.sendCounts());
 }
 
@@ -316,12 +318,13 @@
     const int fd = connectTo(upgrade.folder.path() + "-tmp/handover");
     ASSERT_GE(fd, 0);
     (void)!::send(fd, says.data(), says.size(), MSG_NOSIGNAL);
-    EXPECT_TRUE(eventually([&] { return predecessor->operate("READY") != "OK ready"; }));
+    EXPECT_TRUE(eventually([&] { return predecessor->command("READY") != "OK ready"; }));
     if (!says.empty()) {
       ::close(fd);  // the silent one stays
     }
-    EXPECT_TRUE(eventually([&] { return predecessor->operate("READY") == "OK ready"; }));
-    ASSERT_EQ("+OK", Client(upgrade.passed.port).put("m" + std::to_string(says.size()), "notice", 7));
+    EXPECT_TRUE(eventually([&] { return predecessor->command("READY") == "OK ready"; }));
+    ASSERT_EQ("+OK",
+              SenderClient(upgrade.passed.port).submit("m" + std::to_string(says.size()), "notice", 7));
     if (says.empty()) {
       ::close(fd);
     }
@@ -338,14 +341,15 @@
   std::filesystem::remove(upgrade.folder.path() + "-tmp/handover");
   std::ofstream(upgrade.folder.path() + "-tmp/handover") << "no socket";
   auto third = upgrade.start();
-  ASSERT_EQ("+OK", Client(upgrade.passed.port).put("m", "notice", 7));
+  ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("m", "notice", 7));
   third->kill();
   Listener no_socket;
   no_socket.close();
   no_socket.fd = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
-  Program fourth(upgrade.folder.path(), upgrade.agent.address(),
-                 json::array({listed("e1", upgrade.endpoint.address(), 7)}), 3, plainSettings(), &no_socket);
-  ASSERT_EQ("+OK", Client(fourth.port()).put("n", "notice", 7));
+  SenderProgram fourth(upgrade.folder.path(), upgrade.discovery.address(),
+                       json::array({endpointEntry("e1", upgrade.endpoint.address(), 7)}), 3, testSettings(),
+                       &no_socket);
+  ASSERT_EQ("+OK", SenderClient(fourth.port()).submit("n", "notice", 7));
 }
 
 }  // namespace
--- a/tests/support/discovery_server.h
+++ b/tests/support/discovery_server.h
@@ -20,24 +20,24 @@
 using nlohmann::json;
 
 // An endpoint as discovery lists it; `group` is its destination.
-inline json listed(const std::string& name, const std::string& address, int group,
-                   const std::string& status = "Ready") {
+inline json endpointEntry(const std::string& name, const std::string& address, int group,
+                          const std::string& status = "Ready") {
   return {{"name", name},   {"address", address}, {"zone", "a"},    {"type", "partner"},
           {"group", group}, {"status", status},   {"weight", 50.0}, {"since_ms", 0}};
 }
 
 // Answers a watch request once there is a newer list, and takes completion notices.
-class Agent {
+class DiscoveryServer {
  public:
-  Agent() : server_([this](const Seen& request) { return respond(request); }) {}
-  ~Agent() {
+  DiscoveryServer() : server_([this](const ReceivedRequest& request) { return respond(request); }) {}
+  ~DiscoveryServer() {
     stop_ = true;
     changed_.notify_all();
   }
 
   std::string address() const { return server_.address(); }
 
-  void tell(json endpoints, bool is_snapshot = false) {
+  void publish(json endpoints, bool is_snapshot = false) {
     std::lock_guard<std::mutex> lock(mutex_);
     ++index_;
     is_snapshot_ = is_snapshot;
@@ -47,12 +47,12 @@
   // Waits for a watch request from this index or a later one: what was published before it has been read.
   bool waitForWatch(long from) {
     std::unique_lock<std::mutex> lock(mutex_);
-    return changed_.wait_for(lock, kLong, [&] { return watched_from_ >= from; });
+    return changed_.wait_for(lock, kWaitLimit, [&] { return watched_from_ >= from; });
   }
 
   bool waitForNotice(const std::string& message) {
     std::unique_lock<std::mutex> lock(mutex_);
-    return changed_.wait_for(lock, kLong, [&] { return notices_.count(message) > 0; });
+    return changed_.wait_for(lock, kWaitLimit, [&] { return notices_.count(message) > 0; });
   }
   json notice(const std::string& message) {
     std::lock_guard<std::mutex> lock(mutex_);
@@ -71,15 +71,15 @@
   std::atomic<int> refused{0};  // requests with notices
 
  private:
-  Act respond(const Seen& request) {
+  ServerAction respond(const ReceivedRequest& request) {
     const bool has_notices = request.head.rfind("POST /v1/notices", 0) == 0;
     return has_notices ? takeNotices(request) : answerWatch(request);
   }
 
-  Act takeNotices(const Seen& request) {
+  ServerAction takeNotices(const ReceivedRequest& request) {
     if (refuse_notices) {
       ++refused;
-      return {answer("503 Busy")};
+      return {httpResponse("503 Busy")};
     }
     std::lock_guard<std::mutex> lock(mutex_);
     std::istringstream lines(request.body);
@@ -91,7 +91,7 @@
     return {"HTTP/1.1 204 No Content\r\n\r\n"};
   }
 
-  Act answerWatch(const Seen& request) {
+  ServerAction answerWatch(const ReceivedRequest& request) {
     long from = -1;
     const auto at = request.head.find("from=");
     if (at != std::string::npos) {
@@ -100,12 +100,12 @@
     std::unique_lock<std::mutex> lock(mutex_);
     watched_from_ = std::max(watched_from_, from);
     changed_.notify_all();
-    changed_.wait_for(lock, kLong, [&] { return stop_ || index_ > from; });
+    changed_.wait_for(lock, kWaitLimit, [&] { return stop_ || index_ > from; });
     if (stop_) {
       return {"", true};
     }
     const json body{{"index", index_}, {"snapshot", is_snapshot_}, {"endpoints", endpoints_}};
-    return {answer("200 OK", "", body.dump())};
+    return {httpResponse("200 OK", "", body.dump())};
   }
 
   std::mutex mutex_;
@@ -116,7 +116,7 @@
   long watched_from_ = -1;
   bool is_snapshot_ = false;
   std::atomic<bool> stop_{false};
-  Server server_;
+  HttpServer server_;
 };
 
 }  // namespace delivery::loopback
--- a/tests/support/http_server.h
+++ b/tests/support/http_server.h
@@ -20,10 +20,10 @@
 namespace delivery::loopback {
 
 // A request as the server received it.
-struct Seen {
+struct ReceivedRequest {
   std::string head, body;
-  std::size_t connection = 0;  // which connection of the server, from 0
-  std::size_t on_it = 0;       // which request on that connection, from 0
+  std::size_t connection = 0;           // which connection of the server, from 0
+  std::size_t index_on_connection = 0;  // which request on that connection, from 0
 
   // The value of a header field, in the case in which it was sent; empty if there is none.
   std::string field(const std::string& name) const {
@@ -38,50 +38,49 @@
 
 // What the server does with a request: the bytes that it sends (none: no answer), and whether it then closes
 // the connection, resets it, or (with neither) keeps it.
-struct Act {
+struct ServerAction {
   std::string bytes;
   bool close = false, reset = false;
-  bool silent = false;  // without effect: no bytes are no answer
 };
 
-inline std::string answer(const std::string& status, const std::string& fields = "",
-                          const std::string& body = "") {
+inline std::string httpResponse(const std::string& status, const std::string& fields = "",
+                                const std::string& body = "") {
   return "HTTP/1.1 " + status + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + fields +
          "\r\n" + body;
 }
 
-inline Act deliver(const Seen&) {
-  return {answer("200 OK")};
+inline ServerAction respondOk(const ReceivedRequest&) {
+  return {httpResponse("200 OK")};
 }
-inline Act stayOut(const Seen&) {
+inline ServerAction neverRespond(const ReceivedRequest&) {
   return {};
 }
 
 // Serves on a loopback port, with a thread for each connection.
-class Server {
+class HttpServer {
  public:
-  using Script = std::function<Act(const Seen&)>;  // called by the connections' threads
+  using Script = std::function<ServerAction(const ReceivedRequest&)>;  // called by the connections' threads
 
-  explicit Server(Script script) : script_(std::move(script)), thread_([this] { acceptLoop(); }) {}
-  ~Server() {
+  explicit HttpServer(Script script) : script_(std::move(script)), thread_([this] { acceptLoop(); }) {}
+  ~HttpServer() {
     stop_ = true;
     thread_.join();
     for (auto& connection : connections_) {
       connection.join();
     }
   }
-  Server(const Server&) = delete;
-  Server& operator=(const Server&) = delete;
+  HttpServer(const HttpServer&) = delete;
+  HttpServer& operator=(const HttpServer&) = delete;
 
   std::string address() const { return listener_.address(); }
-  std::vector<Seen> seen() {
+  std::vector<ReceivedRequest> requests() {
     std::lock_guard<std::mutex> lock(mutex_);
     return requests_;
   }
   // Waits until it has received so many requests.
-  bool waitFor(std::size_t count) {
+  bool waitForRequests(std::size_t count) {
     std::unique_lock<std::mutex> lock(mutex_);
-    return changed_.wait_for(lock, kLong, [&] { return requests_.size() >= count; });
+    return changed_.wait_for(lock, kWaitLimit, [&] { return requests_.size() >= count; });
   }
   std::size_t closedByPeer() const { return closed_by_peer_; }  // connections
 
@@ -109,10 +108,10 @@
     std::size_t count = 0;
     bool ended = false;
     while (!stop_ && !ended) {
-      Seen request;
+      ReceivedRequest request;
       if (extractRequest(received, request)) {
         request.connection = connection;
-        request.on_it = count++;
+        request.index_on_connection = count++;
         ended = respond(fd, request);
       } else if (readable(fd)) {
         ended = !receive(fd, received);
@@ -122,7 +121,7 @@
   }
 
   // Takes a complete request off the front of `received`; false: there is none yet.
-  static bool extractRequest(std::string& received, Seen& request) {
+  static bool extractRequest(std::string& received, ReceivedRequest& request) {
     const auto end = received.find("\r\n\r\n");
     if (end == std::string::npos) {
       return false;
@@ -139,13 +138,13 @@
   }
 
   // True: the script ends the connection.
-  bool respond(int fd, const Seen& request) {
+  bool respond(int fd, const ReceivedRequest& request) {
     {
       std::lock_guard<std::mutex> lock(mutex_);
       requests_.push_back(request);
     }
     changed_.notify_all();
-    const Act action = script_(request);
+    const ServerAction action = script_(request);
     if (!action.bytes.empty()) {
       (void)!::send(fd, action.bytes.data(), action.bytes.size(), MSG_NOSIGNAL);
     }
@@ -172,7 +171,7 @@
   Listener listener_;
   std::mutex mutex_;
   std::condition_variable changed_;
-  std::vector<Seen> requests_;
+  std::vector<ReceivedRequest> requests_;
   std::vector<std::thread> connections_;
   std::atomic<bool> stop_{false};
   std::atomic<std::size_t> closed_by_peer_{0};
--- a/tests/support/loopback.h
+++ b/tests/support/loopback.h
@@ -7,7 +7,7 @@
 #include "support/discovery_server.h"
 #include "support/http_server.h"
 #include "support/listener.h"
-#include "support/resp_client.h"
+#include "support/sender_client.h"
 #include "support/sender_program.h"
 #include "support/temp_folder.h"
 #include "support/wait.h"
--- a/tests/support/resp_client.h
+++ b/tests/support/sender_client.h
@@ -18,10 +18,10 @@
 
 namespace delivery::loopback {
 
-class Client {
+class SenderClient {
  public:
   // Connects to a loopback port; `from`: the loopback address to connect from, if not the usual one.
-  explicit Client(int port, const char* from = nullptr) {
+  explicit SenderClient(int port, const char* from = nullptr) {
     fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (from != nullptr) {
       sockaddr_in source{};
@@ -32,9 +32,9 @@
     const sockaddr_in address = loopbackAddress(port);
     connected_ = ::connect(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
   }
-  ~Client() { ::close(fd_); }
-  Client(const Client&) = delete;
-  Client& operator=(const Client&) = delete;
+  ~SenderClient() { ::close(fd_); }
+  SenderClient(const SenderClient&) = delete;
+  SenderClient& operator=(const SenderClient&) = delete;
 
   bool connected() const { return connected_; }
 
@@ -105,22 +105,22 @@
     return line();
   }
   // Submits a message and waits for the reply.
-  std::string put(const std::string& id, const std::string& message_class, int destination,
-                  const std::string& body = "body", int time_to_live_ms = 28000) {
+  std::string submit(const std::string& id, const std::string& message_class, int destination,
+                     const std::string& body = "body", int time_to_live_ms = 28000) {
     const std::string fields = "c=" + message_class + ",d=" + std::to_string(time_to_live_ms) + ",k=k" + id +
                                ",dest=" + std::to_string(destination);
     return ask({"MSG.PUT", "0000000000000000", id, fields, body});
   }
   // Sends a line to the control port and waits for the reply.
-  std::string call(const std::string& command) {
-    send(command + "\n");
+  std::string command(const std::string& text) {
+    send(text + "\n");
     return line("\n");
   }
 
  private:
   bool waitUntilReadable() const {
     pollfd poll_fd{fd_, POLLIN, 0};
-    return ::poll(&poll_fd, 1, static_cast<int>(std::chrono::milliseconds(kLong).count())) > 0;
+    return ::poll(&poll_fd, 1, static_cast<int>(std::chrono::milliseconds(kWaitLimit).count())) > 0;
   }
 
   int fd_ = -1;
--- a/tests/support/sender_program.h
+++ b/tests/support/sender_program.h
@@ -19,14 +19,14 @@
 #include "support/discovery_server.h"
 #include "support/http_server.h"
 #include "support/listener.h"
-#include "support/resp_client.h"
+#include "support/sender_client.h"
 #include "support/temp_folder.h"
 #include "support/wait.h"
 
 namespace delivery::loopback {
 
 // Settings with one message class of each idempotency and one kind of destination.
-inline json plainSettings() {
+inline json testSettings() {
   auto message_class = [](const char* name, const char* idempotency) {
     return json{{"Name", name},
                 {"AimMs", 4000.0},
@@ -66,13 +66,13 @@
 }
 
 // Started by the constructor, killed by the destructor. Its state folder outlasts it.
-class Program {
+class SenderProgram {
  public:
   // `state`: the folder that lasts; its configuration and its scratch folder are put beside it. `passed`: the
   // clients' listening socket, if the program gets it from outside. `more`: further keys of the
   // configuration.
-  Program(const std::string& state, const std::string& discovery, json endpoints, double disk_mb = 3,
-          json settings = plainSettings(), const Listener* passed = nullptr, const json& more = {})
+  SenderProgram(const std::string& state, const std::string& discovery, json endpoints, double disk_mb = 3,
+                json settings = testSettings(), const Listener* passed = nullptr, const json& more = {})
       : state_(state), discovery_(discovery), passed_(passed) {
     std::filesystem::create_directories(state_ + "-tmp");
     config_ = {{"name", "n0"},
@@ -85,13 +85,13 @@
     }
     start();
   }
-  ~Program() {
+  ~SenderProgram() {
     if (pid_ > 0) {
       kill();
     }
   }
-  Program(const Program&) = delete;
-  Program& operator=(const Program&) = delete;
+  SenderProgram(const SenderProgram&) = delete;
+  SenderProgram& operator=(const SenderProgram&) = delete;
 
   // Replaces the configuration and signals the program to read it.
   void reload(const std::string& discovery) {
@@ -115,11 +115,11 @@
     pid_ = spawn(configPath(), state_, passed_ ? passed_->fd : -1);
     // Its own address first: a socket that is passed on may still be served by another process.
     EXPECT_TRUE(eventually([this] {
-      const std::string reply = operate("READY");
+      const std::string reply = command("READY");
       return reply == "OK ready" || reply == "ERR no list of endpoints yet";
     })) << "the program does not get ready";
     EXPECT_TRUE(eventually([this] {
-      Client client(port_);
+      SenderClient client(port_);
       return client.connected() && client.ask({"PING"}) == "+PONG";
     })) << "the program does not answer PING";
   }
@@ -164,9 +164,9 @@
   pid_t pid() const { return pid_; }
   int port() const { return port_; }
   int controlPort() const { return control_port_; }
-  std::string operate(const std::string& command) { return Client(control_port_).call(command); }
+  std::string command(const std::string& text) { return SenderClient(control_port_).command(text); }
 
-  std::size_t descriptors() const {
+  std::size_t openDescriptors() const {
     const std::filesystem::directory_iterator all("/proc/" + std::to_string(pid_) + "/fd");
     return static_cast<std::size_t>(std::distance(begin(all), end(all)));
   }
@@ -192,15 +192,15 @@
 };
 
 // The program with its state folder, discovery, and one endpoint "e1" of destination 7.
-struct Fleet {
-  explicit Fleet(Server::Script script, double disk_mb = 3)
+struct SenderSetup {
+  explicit SenderSetup(HttpServer::Script script, double disk_mb = 3)
       : endpoint(std::move(script)),
-        program(folder.path(), agent.address(), json::array({listed("e1", endpoint.address(), 7)}), disk_mb) {
-  }
+        program(folder.path(), discovery.address(), json::array({endpointEntry("e1", endpoint.address(), 7)}),
+                disk_mb) {}
   TempFolder folder;
-  Agent agent;
-  Server endpoint;
-  Program program;
+  DiscoveryServer discovery;
+  HttpServer endpoint;
+  SenderProgram program;
 };
 
 }  // namespace delivery::loopback
--- a/tests/support/temp_folder.h
+++ b/tests/support/temp_folder.h
@@ -7,7 +7,7 @@
 
 namespace delivery::loopback {
 
-// Removed at the end, with the files that Program puts beside it.
+// Removed at the end, with the files that SenderProgram puts beside it.
 class TempFolder {
  public:
   TempFolder() {
