--- a/tests/support/listener.h
+++ b/tests/support/listener.h
@@ -21,6 +21,30 @@
   return address;
 }
 
+// A port that is bound, but not listened on, for as long as this lives: no other test is given it,
+// connections to it are refused, and a program that binds it with SO_REUSEADDR may listen on it.
+class ReservedPort {
+ public:
+  ReservedPort() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    const int on = 1;
+    EXPECT_EQ(0, ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on));
+    sockaddr_in address = loopbackAddress(0);
+    EXPECT_EQ(0, ::bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address));
+    socklen_t size = sizeof address;
+    ::getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &size);
+    port_ = ntohs(address.sin_port);
+  }
+  ~ReservedPort() { ::close(fd_); }
+  ReservedPort(const ReservedPort&) = delete;
+  ReservedPort& operator=(const ReservedPort&) = delete;
+
+  int port() const { return port_; }
+
+ private:
+  int fd_;
+  int port_ = 0;
+};
+
 // Listens and accepts nothing itself.
 struct Listener {
   Listener() {
--- a/tests/support/sender_program.h
+++ b/tests/support/sender_program.h
@@ -13,6 +13,7 @@
 #include <fstream>
 #include <iterator>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <string>
 #include <utility>
 
@@ -106,10 +107,13 @@
 
   // Starts it and waits until it answers PING.
   void start() {
-    port_ = passed_ ? passed_->port : Listener().port;  // free a moment ago; listened on with SO_REUSEADDR
+    if (!passed_) {
+      client_port_.emplace();
+    }
+    port_ = passed_ ? passed_->port : client_port_->port();
     config_["listen"] = "127.0.0.1:" + std::to_string(port_);
-    control_port_ = Listener().port;
-    config_["control"] = "127.0.0.1:" + std::to_string(control_port_);
+    control_port_.emplace();
+    config_["control"] = "127.0.0.1:" + std::to_string(controlPort());
     config_["discovery"] = discovery_;
     writeConfig();
     pid_ = spawn(configPath(), state_, passed_ ? passed_->fd : -1);
@@ -163,8 +167,8 @@
 
   pid_t pid() const { return pid_; }
   int port() const { return port_; }
-  int controlPort() const { return control_port_; }
-  std::string command(const std::string& text) { return SenderClient(control_port_).command(text); }
+  int controlPort() const { return control_port_->port(); }
+  std::string command(const std::string& text) { return SenderClient(controlPort()).command(text); }
 
   std::size_t openDescriptors() const {
     const std::filesystem::directory_iterator all("/proc/" + std::to_string(pid_) + "/fd");
@@ -187,7 +191,9 @@
   std::string state_, discovery_;
   const Listener* passed_;
   json config_;
-  int port_ = 0, control_port_ = 0;
+  int port_ = 0;
+  std::optional<ReservedPort> client_port_,
+      control_port_;  // those of the latest start; client_port_: none if passed
   pid_t pid_ = -1;
 };
 
