--- a/src/decision/admission_control.h
+++ b/src/decision/admission_control.h
@@ -28,16 +28,23 @@
   std::uint64_t last_accepted = 0;  // order of the latest message whose client has been notified
 
   void assignTenant(Message& message, const std::string& name) {
-    for (const Tenant& tenant : turn.settings.tenants)
-      if (tenant.name == name) message.tenant = &tenant;
-    if (message.tenant) turn.count(tenant_rates[name]);
+    for (const Tenant& tenant : turn.settings.tenants) {
+      if (tenant.name == name) {
+        message.tenant = &tenant;
+      }
+    }
+    if (message.tenant) {
+      turn.count(tenant_rates[name]);
+    }
   }
 
   // Traffic within the quota has full weight, the excess over_quota_weight; as measured by this sender.
   double tenantFactor(const Tenant& tenant) const {
     const double quota = tenant.quota / turn.settings.sender_count;
     const double rate = turn.perSecond(tenant_rates.at(tenant.name));
-    if (quota <= 0 || rate <= quota) return 1;
+    if (quota <= 0 || rate <= quota) {
+      return 1;
+    }
     return quota / rate + (1 - quota / rate) * turn.settings.over_quota_weight;
   }
 
@@ -47,11 +54,14 @@
     const double deadline = std::max<double>(objective, message.rules->deadline);
     const double late_share = message.rules->late_weight_share;
     double share = 1;
-    if (age >= deadline) return 0;
-    if (age > objective && turn.settings.late_decay == LateDecay::linear)
+    if (age >= deadline) {
+      return 0;
+    }
+    if (age > objective && turn.settings.late_decay == LateDecay::linear) {
       share = 1 - (1 - late_share) * (age - objective) / (deadline - objective);
-    else if (age > objective)
+    } else if (age > objective) {
       share = std::max(late_share, std::exp2(-(age - objective) / objective));
+    }
     return message.rules->priority_weight * share * (message.tenant ? tenantFactor(*message.tenant) : 1);
   }
 
@@ -66,7 +76,9 @@
     for (const auto& [id, destination] : queue.backlog) {
       const Micros drained_at = turn.now + std::max(limiter.drainTime(*destination), wait);
       for (Message* message : destination->queued) {
-        if (!RetryPolicy::mayReject(*message) || message->isRecoveredUntried()) continue;
+        if (!RetryPolicy::mayReject(*message) || message->isRecoveredUntried()) {
+          continue;
+        }
         const double cost = isPromised(*message) ? kBrokenPromiseCost * message->rules->priority_weight : 0;
         const double value = valueAt(*message, drained_at) + cost + 1e-3 * valueAt(*message, turn.now);
         candidates.insert({value, message});
@@ -85,15 +97,24 @@
     const double longest_wait = kMaxWaitShare * turn.tightest_objective;
     std::vector<Message*> selected;
     double wait = 0;  // for a slot, of the messages that lack nothing else
-    for (const auto& [id, destination] : queue.backlog)
-      if (destination->blocked_at != turn.now) wait += wait_each * destination->queued.size();
-    if (open_messages <= most && wait <= longest_wait) return selected;
+    for (const auto& [id, destination] : queue.backlog) {
+      if (destination->blocked_at != turn.now) {
+        wait += wait_each * destination->queued.size();
+      }
+    }
+    if (open_messages <= most && wait <= longest_wait) {
+      return selected;
+    }
     for (const auto& [value, message] : candidates(static_cast<Micros>(wait))) {
       const bool waits = wait > longest_wait && message->destination->blocked_at != turn.now;
       const bool loses = value < kMinValueKept * valueAt(*message, message->submitted_at);
       const bool late = waits && loses && !isPromised(*message);
-      if (open_messages <= most && !late) continue;
-      if (late) wait -= wait_each;
+      if (open_messages <= most && !late) {
+        continue;
+      }
+      if (late) {
+        wait -= wait_each;
+      }
       --open_messages;
       selected.push_back(message);
     }
--- a/src/decision/connection_reuse.h
+++ b/src/decision/connection_reuse.h
@@ -28,10 +28,16 @@
   Micros take(Endpoint& endpoint) {
     std::deque<Micros>& idle = endpoint.idle_connections;
     const Micros timeout = turn.settings.connection_idle_timeout;
-    while (!idle.empty() && timeout > 0 && turn.now - idle.front() >= timeout) idle.pop_front();
+    while (!idle.empty() && timeout > 0 && turn.now - idle.front() >= timeout) {
+      idle.pop_front();
+    }
     const bool suspect = dead_signs > kDeadSigns / (turn.isOneOfMany() ? 2 : 1) && isRecent(last_sign);
-    if (suspect && !idle.empty() && turn.now - idle.front() >= shortest_dead / 2) closeIdle(endpoint);
-    if (idle.empty()) return -1;
+    if (suspect && !idle.empty() && turn.now - idle.front() >= shortest_dead / 2) {
+      closeIdle(endpoint);
+    }
+    if (idle.empty()) {
+      return -1;
+    }
     const Micros idled = turn.now - idle.back();
     idle.pop_back();
     return idled;
@@ -46,18 +52,24 @@
         others / endpoint.destination->readyEndpoints() * turn.settings.connection_idle_timeout;
     const double least = kMinReuses * std::min(1.0, turn.settings.sender_count / kCrowdedSenders);
     const bool table_full = turn.isOneOfMany() && isRecent(endpoint.last_connect_failure);
-    if (table_full || uses / kMicrosPerSecond < least) closeIdle(endpoint);
+    if (table_full || uses / kMicrosPerSecond < least) {
+      closeIdle(endpoint);
+    }
   }
 
   void recordOutcome(const Attempt& attempt, AttemptResult result) {
     Endpoint& endpoint = *attempt.endpoint;
-    if (result == AttemptResult::connect_failed) endpoint.last_connect_failure = turn.now;
-    if (result == AttemptResult::ok || result == AttemptResult::error || result == AttemptResult::throttled)
+    if (result == AttemptResult::connect_failed) {
+      endpoint.last_connect_failure = turn.now;
+    }
+    if (result == AttemptResult::ok || result == AttemptResult::error || result == AttemptResult::throttled) {
       keep(endpoint);
-    if (result == AttemptResult::ok)
+    }
+    if (result == AttemptResult::ok) {
       recordSuccess(endpoint.destination->lost_after_idle, attempt.connection_idled);
-    else if (attempt.overdue && (result == AttemptResult::timeout || attempt.cancel_requested))
+    } else if (attempt.overdue && (result == AttemptResult::timeout || attempt.cancel_requested)) {
       endpoint.destination->lost_after_idle = attempt.connection_idled;
+    }
   }
 
   void recordSuccess(Micros& lost_after, Micros idled) {
@@ -65,7 +77,9 @@
       dead_signs = 0;
       shortest_dead = kNever;
     }
-    if (lost_after < 0 || (idled >= 0 && idled < lost_after)) return;
+    if (lost_after < 0 || (idled >= 0 && idled < lost_after)) {
+      return;
+    }
     if (idled < 0) {
       const Micros since_sign = turn.now - last_sign, slow_start = turn.settings.slow_start_time;
       dead_signs = dead_signs * std::exp(-since_sign / (slow_start + 1.0)) + 1;
--- a/src/decision/endpoint_directory.h
+++ b/src/decision/endpoint_directory.h
@@ -21,7 +21,9 @@
 
   void poll() {
     turn.wakeAt(poll_at);
-    if (poll_at > turn.now) return;
+    if (poll_at > turn.now) {
+      return;
+    }
     turn.actions.emplace_back(SubscribeEndpoints{});
     poll_at = kNever;
   }
@@ -32,23 +34,34 @@
       const double base = std::max<Micros>(1, turn.settings.poll_interval) / 64.0;
       const double jitter = 0.5 + std::uniform_real_distribution<double>(0, 1)(turn.random);
       const auto pause = static_cast<Micros>(base * std::exp2(failed_polls) * jitter / 2);
-      if (turn.settings.discovery_mode == DiscoveryMode::poll) poll_at = turn.now + pause;
+      if (turn.settings.discovery_mode == DiscoveryMode::poll) {
+        poll_at = turn.now + pause;
+      }
       return;
     }
     failed_polls = 0;
-    if (change.kind != EndpointUpdateKind::delta)
-      for (auto& [id, endpoint] : endpoints) endpoint.info.state = EndpointState::removed;
-    for (const EndpointInfo& info : change.endpoints) update(info);
+    if (change.kind != EndpointUpdateKind::delta) {
+      for (auto& [id, endpoint] : endpoints) {
+        endpoint.info.state = EndpointState::removed;
+      }
+    }
+    for (const EndpointInfo& info : change.endpoints) {
+      update(info);
+    }
   }
 
   void update(const EndpointInfo& info) {
     Endpoint& endpoint = endpoints[info.id];
     endpoint.info = info;
     endpoint.kind = &default_kind;
-    for (const DestinationKind& kind : turn.settings.destination_kinds)
-      if (kind.name == info.kind) endpoint.kind = &kind;
-    if (Destination& target = destination(info.destination); endpoint.destination != &target)
+    for (const DestinationKind& kind : turn.settings.destination_kinds) {
+      if (kind.name == info.kind) {
+        endpoint.kind = &kind;
+      }
+    }
+    if (Destination& target = destination(info.destination); endpoint.destination != &target) {
       move(endpoint, target);
+    }
     limiter.recordListedLimit(endpoint.scope().rate, info.weight);
   }
 
--- a/src/decision/fair_queue.h
+++ b/src/decision/fair_queue.h
@@ -23,15 +23,20 @@
   // Tag adjustment: moves all global tags so that the smallest is now.
   void adjustGlobalTags() {
     double smallest = 1e300;
-    for (const auto& [id, destination] : backlog)
+    for (const auto& [id, destination] : backlog) {
       smallest = std::min(smallest, destination->tags.front().global + global_shift);
-    if (smallest < 1e300) global_shift += turn.now - smallest;
+    }
+    if (smallest < 1e300) {
+      global_shift += turn.now - smallest;
+    }
   }
 
   double globalStep(const Destination& destination) const {  // 1/w, in microseconds
-    for (const Endpoint* endpoint : destination.endpoints)
-      if (endpoint->isReady() && turn.settings.weight_kind != WeightKind::none && endpoint->info.weight > 0)
+    for (const Endpoint* endpoint : destination.endpoints) {
+      if (endpoint->isReady() && turn.settings.weight_kind != WeightKind::none && endpoint->info.weight > 0) {
         return kMicrosPerSecond / endpoint->info.weight;
+      }
+    }
     return kMicrosPerSecond;
   }
 
@@ -44,8 +49,9 @@
     message.not_before = not_before;
     destination.queued.push_back(&message);
     double& period = destination.reservation_period = 1e300;
-    for (const Message* queued : destination.queued)
+    for (const Message* queued : destination.queued) {
       period = std::min<double>(period, queued->rules->latency_objective);
+    }
     const double now = turn.now, step = globalStep(destination);
     // No idle credit after an outage: with its backlog it would overload the destination again.
     const bool known = last.global > -1e17 && !detector.isWarmingUp(destination.shared.health);
@@ -59,7 +65,9 @@
     Destination& destination = *message.destination;
     destination.queued.erase(std::find(destination.queued.begin(), destination.queued.end(), &message));
     message.queued = false;
-    if (destination.queued.empty()) backlog.erase(destination.id);
+    if (destination.queued.empty()) {
+      backlog.erase(destination.id);
+    }
   }
 
   // Removes a message to send, with the first tag. A start in the global phase leaves the reservation
@@ -68,8 +76,12 @@
     Destination& destination = *message.destination;
     erase(message);
     destination.tags.pop_front();
-    if (!in_global_phase) return;
-    for (Tag& tag : destination.tags) tag.local -= destination.reservation_period;
+    if (!in_global_phase) {
+      return;
+    }
+    for (Tag& tag : destination.tags) {
+      tag.local -= destination.reservation_period;
+    }
     destination.last_tag.local -= destination.reservation_period;
   }
 
@@ -90,8 +102,9 @@
       const Tag& first = destination->tags.front();
       const bool due = first.local <= turn.now;
       const bool has_untried = std::any_of(destination->queued.begin(), destination->queued.end(), untried);
-      if (destination->blocked_at != turn.now)
+      if (destination->blocked_at != turn.now) {
         order.insert({{!has_untried, !due, due ? first.local : first.global}, destination});
+      }
     }
     return order;
   }
--- a/src/decision/outlier_detection.h
+++ b/src/decision/outlier_detection.h
@@ -34,8 +34,12 @@
 
   double usualLatency(const Endpoint& endpoint) const {
     const HealthStats& shared = endpoint.destination->shared.health;
-    if (endpoint.own.health.latency_samples > 0) return endpoint.own.health.usual_latency;
-    if (shared.latency_samples > 0) return shared.usual_latency;
+    if (endpoint.own.health.latency_samples > 0) {
+      return endpoint.own.health.usual_latency;
+    }
+    if (shared.latency_samples > 0) {
+      return shared.usual_latency;
+    }
     return answered_calls > 0 ? mean_latency : turn.tightest_objective / kTimeoutRatio;
   }
 
@@ -51,11 +55,15 @@
     for (auto it = recently_active.begin(); it != recently_active.end();) {
       const HealthStats& health = it->second->own.health;
       const bool recent = turn.now - health.last_outcome < 2 * turn.settings.overload_window;
-      if (recent && health.latency_samples > 4) ratios.push_back(health.relative_latency);
+      if (recent && health.latency_samples > 4) {
+        ratios.push_back(health.relative_latency);
+      }
       it = recent ? std::next(it) : recently_active.erase(it);
     }
     common_slowdown = 1;
-    if (ratios.size() < 3) return;
+    if (ratios.size() < 3) {
+      return;
+    }
     const auto median = ratios.begin() + static_cast<long>(ratios.size() / 2);
     std::nth_element(ratios.begin(), median, ratios.end());
     common_slowdown = std::max(1.0, *median);
@@ -63,16 +71,26 @@
 
   // Overdue calls show a destination that hangs before any time-out does.
   void countOverdue(const InFlightCalls& calls) const {
-    for (const auto& [order, reference] : calls.attempts) clearOverdue(*reference.attempt().endpoint);
+    for (const auto& [order, reference] : calls.attempts) {
+      clearOverdue(*reference.attempt().endpoint);
+    }
     for (const auto& [order, reference] : calls.attempts) {
       Attempt& attempt = reference.attempt();
       HealthStats &own = attempt.endpoint->own.health, &health = attempt.endpoint->scope().health;
       const double limit = kOverdueRatio * common_slowdown * usualLatency(*attempt.endpoint);
-      if (turn.now - attempt.sent_at < limit) continue;
+      if (turn.now - attempt.sent_at < limit) {
+        continue;
+      }
       attempt.overdue = true;
-      if (own.last_success < attempt.sent_at) ++own.overdue_calls;
-      if (&health != &own && health.last_success < attempt.sent_at) ++health.overdue_calls;
-      if (health.overdue_calls >= kFailuresToEject) eject(health);
+      if (own.last_success < attempt.sent_at) {
+        ++own.overdue_calls;
+      }
+      if (&health != &own && health.last_success < attempt.sent_at) {
+        ++health.overdue_calls;
+      }
+      if (health.overdue_calls >= kFailuresToEject) {
+        eject(health);
+      }
     }
   }
   static void clearOverdue(Endpoint& endpoint) {
@@ -81,21 +99,33 @@
 
   void recordActivity(Endpoint& endpoint, bool answered, Micros latency) {
     recently_active[endpoint.info.id] = &endpoint;
-    if (!answered) return;
+    if (!answered) {
+      return;
+    }
     ++answered_calls;
     mean_latency += (latency - mean_latency) / answered_calls;
   }
 
   void recordLatency(HealthStats& health, double latency, bool answered) const {
-    if (health.latency_samples == 0 && !answered) return;
-    if (health.latency_samples == 0) health.usual_latency = latency;
+    if (health.latency_samples == 0 && !answered) {
+      return;
+    }
+    if (health.latency_samples == 0) {
+      health.usual_latency = latency;
+    }
     double& usual = health.usual_latency;
     const double ratio = latency / std::max(1.0, usual);
-    if (!answered && ratio < health.relative_latency) return;  // a quick failure is no sample of the latency
+    if (!answered && ratio < health.relative_latency) {
+      return;  // a quick failure is no sample of the latency
+    }
     health.relative_latency += kRecentGain * (ratio - health.relative_latency);
     const double gain = std::max(kUsualGain, 1.0 / (health.latency_samples + 1));
-    if (answered && !isOutlier(health)) usual += gain * (std::min(latency, kSlowRatio * usual) - usual);
-    if (answered) ++health.latency_samples;
+    if (answered && !isOutlier(health)) {
+      usual += gain * (std::min(latency, kSlowRatio * usual) - usual);
+    }
+    if (answered) {
+      ++health.latency_samples;
+    }
   }
 
   // Returns whether this outcome ejects, or ends an ejection.
@@ -104,7 +134,9 @@
     const bool unknown =
         result == AttemptResult::error || result == AttemptResult::timeout || result == AttemptResult::reset;
     health.unknown_share += kOutcomeGain * ((unknown ? 1.0 : 0.0) - health.unknown_share);
-    if (result == AttemptResult::ok) return recordSuccess(health);
+    if (result == AttemptResult::ok) {
+      return recordSuccess(health);
+    }
     return recordFailure(health, result == AttemptResult::throttled);
   }
 
@@ -113,8 +145,9 @@
     const bool was_ejected = health.ejected;
     const bool was_failing = health.consecutive_failures > 0 && health.first_failure != kNever;
     const bool brief = health.failure_share <= kMaxFailureShare && now - health.first_failure < window / 2;
-    if (was_ejected || (was_failing && now - health.last_success > window))
+    if (was_ejected || (was_failing && now - health.last_success > window)) {
       health.warming_since = was_ejected && brief ? -kNever : now;
+    }
     health.failure_share -= kOutcomeGain * health.failure_share;
     health.ejected = false;
     health.consecutive_failures = health.consecutive_throttles = 0;
@@ -130,13 +163,19 @@
     health.first_failure = std::min(health.first_failure, turn.now);
     throttles += throttled ? 1 : 0;
     failures += throttled ? 0 : 1;
-    if (!throttled) health.failure_share += kOutcomeGain * (1 - health.failure_share);
+    if (!throttled) {
+      health.failure_share += kOutcomeGain * (1 - health.failure_share);
+    }
     const Micros failing_for = turn.now - std::max(health.last_success, health.first_failure);
     const bool refuses_all = throttles >= kFailuresToEject && failing_for > window / 2;
     const bool lasting = turn.isOneOfMany() || failures >= kFailuresToEject || failing_for > window;
     const bool dead = failures > 0 && lasting;
-    if (health.failure_share <= kMaxFailureShare && !refuses_all && !dead) return false;
-    if (refuses_all && throttled) failures = std::max(failures, 1);
+    if (health.failure_share <= kMaxFailureShare && !refuses_all && !dead) {
+      return false;
+    }
+    if (refuses_all && throttled) {
+      failures = std::max(failures, 1);
+    }
     eject(health);
     return true;
   }
@@ -152,8 +191,11 @@
 
   int excess() const {
     std::set<std::uint64_t> outlier_calls;
-    for (const auto& [order, reference] : calls.attempts)
-      if (detector.isOutlier(*reference.attempt().endpoint)) outlier_calls.insert(reference.attempt().call);
+    for (const auto& [order, reference] : calls.attempts) {
+      if (detector.isOutlier(*reference.attempt().endpoint)) {
+        outlier_calls.insert(reference.attempt().call);
+      }
+    }
     const int size = std::max(1, static_cast<int>(kBulkheadShare * turn.settings.call_slots));
     return static_cast<int>(outlier_calls.size()) - size;
   }
@@ -161,18 +203,23 @@
   // Calls that were in flight when their destination became an outlier may exceed the bulkhead. When no slot
   // is left for others, overdue ones are cancelled, those first that may be repeated.
   void cancelExcess() const {
-    if (!turn.settings.may_cancel || !calls.allSlotsUsed()) return;
+    if (!turn.settings.may_cancel || !calls.allSlotsUsed()) {
+      return;
+    }
     int to_cancel = excess();
     std::multimap<Idempotency, AttemptRef> overdue;
     for (const auto& [order, reference] : calls.attempts) {
       const Attempt& attempt = reference.attempt();
-      if (attempt.cancel_requested)
+      if (attempt.cancel_requested) {
         --to_cancel;
-      else if (attempt.overdue && detector.isOutlier(*attempt.endpoint))
+      } else if (attempt.overdue && detector.isOutlier(*attempt.endpoint)) {
         overdue.insert({reference.message->rules->idempotency, reference});
+      }
     }
     for (const auto& [idempotency, reference] : overdue) {
-      if (to_cancel <= 0) return;
+      if (to_cancel <= 0) {
+        return;
+      }
       --to_cancel;
       reference.attempt().cancel_requested = true;
       turn.actions.emplace_back(CancelAttempt{reference.message->id, static_cast<int>(reference.index)});
--- a/src/decision/rate_limiter.h
+++ b/src/decision/rate_limiter.h
@@ -36,11 +36,15 @@
     if (rate.limit > 0) {
       const double windows = (turn.now - rate.quota_updated_at) / turn.overload_micros;
       const double growth = kIncrease * portion(rate.limit, own_rate) * windows;
-      if (!rate.limit_is_learned) rate.quota_fraction = std::min(1.0, rate.quota_fraction + growth);
+      if (!rate.limit_is_learned) {
+        rate.quota_fraction = std::min(1.0, rate.quota_fraction + growth);
+      }
       rate.quota_updated_at = turn.now;
     }
     const double allowed = rate.limit > 0 ? rate.limit * rate.quota_fraction : 1e12;
-    if (!detector.isWarmingUp(scope.health)) return allowed;
+    if (!detector.isWarmingUp(scope.health)) {
+      return allowed;
+    }
     return std::min(allowed, warmingRate(scope, limit, own_rate));
   }
 
@@ -49,7 +53,9 @@
     const double start = turn.settings.slow_start_share;
     const double age = (turn.now - scope.health.warming_since) / kMicrosPerSecond;
     const double warmth = scope.health.ejected ? 0 : std::min(1.0, age / turn.warm_up_seconds);
-    if (limit > 0 && !scope.rate.limit_is_learned) own_rate = limit * portion(limit, own_rate);
+    if (limit > 0 && !scope.rate.limit_is_learned) {
+      own_rate = limit * portion(limit, own_rate);
+    }
     own_rate = std::max(own_rate, 1 / turn.warm_up_seconds);
     return own_rate * (start + (1 - start) * warmth) * turn.settings.overload_factor;
   }
@@ -76,8 +82,9 @@
     const double own_rate = std::max(turn.perSecond(destination.traffic), queued_rate);
     const bool rare = own_rate < (limit > 0 ? kRareShare * limit : 2 / turn.warm_up_seconds);
     Micros must_leave_by = kNever;
-    if (message && message->attempts.empty() && turn.isOneOfMany() && rare)
+    if (message && message->attempts.empty() && turn.isOneOfMany() && rare) {
       must_leave_by = message->expires_at - static_cast<Micros>(detector.usualLatency(endpoint));
+    }
     return std::max(opensAt(endpoint.own, must_leave_by), opensAt(destination.shared, must_leave_by));
   }
 
@@ -85,7 +92,9 @@
   Micros drainTime(const Destination& destination) const {
     double rate = 0;
     for (Endpoint* endpoint : destination.endpoints) {
-      if (!endpoint->isReady()) continue;
+      if (!endpoint->isReady()) {
+        continue;
+      }
       TrafficScope& scope = endpoint->scope();
       const double allowed = allowedRate(scope, scope.rate.limit, ownRate(*endpoint));
       rate = endpoint->hasOwnRoute() ? rate + allowed : allowed;
@@ -109,7 +118,9 @@
     const double ready = endpoint.destination->readyEndpoints();
     const double own_rate = turn.perSecond(endpoint.destination->traffic);
     charge(endpoint.own, scope.rate.limit / (endpoint.hasOwnRoute() ? 1 : ready), own_rate / ready);
-    if (!endpoint.hasOwnRoute()) charge(scope, scope.rate.limit, own_rate);
+    if (!endpoint.hasOwnRoute()) {
+      charge(scope, scope.rate.limit, own_rate);
+    }
   }
 
   static void recordAdvertisedLimit(RateLimit& rate, double limit) {
@@ -121,15 +132,21 @@
   // A limit in the endpoint list holds until the destination advertises one.
   void recordListedLimit(RateLimit& rate, double limit) const {
     const bool listed = limit > 0 && turn.settings.weight_kind != WeightKind::none;
-    if (!rate.limit_is_advertised && listed) rate.limit = limit;
+    if (!rate.limit_is_advertised && listed) {
+      rate.limit = limit;
+    }
     const double initial = kInitialPortions * portion(rate.limit, 1e12);
-    if (rate.quota_updated_at == 0) rate.quota_fraction = std::min(1.0, initial);
+    if (rate.quota_updated_at == 0) {
+      rate.quota_fraction = std::min(1.0, initial);
+    }
     rate.quota_updated_at = turn.now;
   }
 
   void recordServed(RateLimit& rate) const {
     turn.count(rate.served);
-    if (rate.limit_is_learned) rate.limit = std::min(1e9, rate.limit * (1 + kLearnedIncrease));
+    if (rate.limit_is_learned) {
+      rate.limit = std::min(1e9, rate.limit * (1 + kLearnedIncrease));
+    }
   }
 
   // Throttled: this sender takes less of the limit; without one it learns a limit from what was served.
@@ -147,15 +164,20 @@
     }
     const double stretch = std::min<double>(kMaxStretch, health.consecutive_throttles);
     const double gap = stretch * kMicrosPerSecond / allowedRate(endpoint.scope(), rate.limit, own_rate);
-    if (!has_retry_after) rate.next_send_tag = std::max(rate.next_send_tag, turn.now + gap);
-    if (limit_unknown || turn.now - rate.last_decrease <= turn.settings.overload_window / 4) return;
+    if (!has_retry_after) {
+      rate.next_send_tag = std::max(rate.next_send_tag, turn.now + gap);
+    }
+    if (limit_unknown || turn.now - rate.last_decrease <= turn.settings.overload_window / 4) {
+      return;
+    }
     const double most = std::min(rate.quota_fraction, kInitialPortions * portion(rate.limit, served));
     const double least = kMinPortions * portion(rate.limit, own_rate);
     rate.last_decrease = turn.now;
-    if (rate.limit_is_learned)
+    if (rate.limit_is_learned) {
       rate.limit = std::max(served, kDecreaseFactor * rate.limit);
-    else
+    } else {
       rate.quota_fraction = std::max(least, most * kDecreaseFactor);
+    }
   }
 };
 
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -17,10 +17,18 @@
   // is deduplicated; two attempts are in flight at once only if the site allows hedging.
   bool maySend(const Message& message, Endpoint& endpoint) const {
     const MessageClass& rules = *message.rules;
-    if (static_cast<int>(message.attempts.size()) >= turn.settings.max_attempts) return false;
-    if (message.attempts_in_flight > 0 && !turn.settings.may_hedge) return false;
-    if (rules.idempotency == Idempotency::idempotent || !message.mayHaveRun()) return true;
-    if (rules.idempotency == Idempotency::non_idempotent) return false;
+    if (static_cast<int>(message.attempts.size()) >= turn.settings.max_attempts) {
+      return false;
+    }
+    if (message.attempts_in_flight > 0 && !turn.settings.may_hedge) {
+      return false;
+    }
+    if (rules.idempotency == Idempotency::idempotent || !message.mayHaveRun()) {
+      return true;
+    }
+    if (rules.idempotency == Idempotency::non_idempotent) {
+      return false;
+    }
     return std::all_of(message.attempts.begin(), message.attempts.end(), [&](const Attempt& earlier) {
       return !earlier.may_have_run || isDeduplicated(rules, earlier, endpoint);
     });
@@ -29,8 +37,12 @@
   bool isDeduplicated(const MessageClass& rules, const Attempt& earlier, Endpoint& endpoint) const {
     const bool all = rules.deduplication_scope == DeduplicationScope::all;
     const bool cell = rules.deduplication_scope == DeduplicationScope::cell;
-    if (!all && (!earlier.endpoint || earlier.endpoint->info.zone != endpoint.info.zone)) return false;
-    if (cell && earlier.endpoint->destination != endpoint.destination) return false;
+    if (!all && (!earlier.endpoint || earlier.endpoint->info.zone != endpoint.info.zone)) {
+      return false;
+    }
+    if (cell && earlier.endpoint->destination != endpoint.destination) {
+      return false;
+    }
     // The repeat may have to wait for its connection to come up.
     const Micros longest_way = 2 * turn.settings.tick + turn.settings.connect_timeout;
     return turn.now <= earlier.sent_at + rules.deduplication_window - longest_way;
@@ -39,14 +51,18 @@
   // A rejection promises that submitting the message again does no harm.
   static bool mayReject(const Message& message) {
     const MessageClass& rules = *message.rules;
-    if (rules.idempotency == Idempotency::idempotent || !message.mayHaveRun()) return true;
+    if (rules.idempotency == Idempotency::idempotent || !message.mayHaveRun()) {
+      return true;
+    }
     return rules.idempotency == Idempotency::with_key && rules.deduplication_scope == DeduplicationScope::all;
   }
 
   bool hasAttemptLeft(const Message& message) const {
-    for (Endpoint* endpoint : message.destination->endpoints)
-      if (maySend(message, *endpoint) && endpoint->scope().rate.retry_after_until < message.expires_at)
+    for (Endpoint* endpoint : message.destination->endpoints) {
+      if (maySend(message, *endpoint) && endpoint->scope().rate.retry_after_until < message.expires_at) {
         return true;
+      }
+    }
     return message.attempts.empty() && message.destination->endpoints.empty();
   }
 
@@ -69,8 +85,9 @@
     const int attempts_left = turn.settings.max_attempts - static_cast<int>(message.attempts.size());
     const double left = message.expires_at - turn.now;
     double least = detector.usualLatency(endpoint);
-    if (turn.isOneOfMany())
+    if (turn.isOneOfMany()) {
       least = turn.tightest_objective + limiter.returnDelay(endpoint.scope(), *message.destination);
+    }
     return turn.now + static_cast<Micros>(std::max(least, left * std::exp2(-std::min(attempts_left, 60))));
   }
 };
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -48,35 +48,51 @@
   void learnAt(TrafficScope& scope, const Destination& destination, AttemptResult result, Micros latency) {
     double& next_send_tag = scope.rate.next_send_tag;
     const bool ok = result == AttemptResult::ok;
-    if (ok || result == AttemptResult::timeout) detector.recordLatency(scope.health, latency, ok);
+    if (ok || result == AttemptResult::timeout) {
+      detector.recordLatency(scope.health, latency, ok);
+    }
     const bool changed = detector.recordOutcome(scope.health, result);
-    if (changed) next_send_tag = ok ? turn.now : std::max<double>(next_send_tag, turn.now);
-    if (result == AttemptResult::throttled) return;
+    if (changed) {
+      next_send_tag = ok ? turn.now : std::max<double>(next_send_tag, turn.now);
+    }
+    if (result == AttemptResult::throttled) {
+      return;
+    }
     limiter.recordServed(scope.rate);
-    if (turn.isOneOfMany() && !ok && scope.health.ejected)
+    if (turn.isOneOfMany() && !ok && scope.health.ejected) {
       next_send_tag = std::max(next_send_tag, turn.now + limiter.returnDelay(scope, destination));
+    }
   }
 
   void learn(Endpoint& endpoint, AttemptResult result, Micros latency, Micros retry_after) {
-    if (result == AttemptResult::cancelled || result == AttemptResult::not_sent) return;
+    if (result == AttemptResult::cancelled || result == AttemptResult::not_sent) {
+      return;
+    }
     TrafficScope& scope = endpoint.scope();
     HealthStats& health = scope.health;
     const bool was_ejected = health.ejected;
     const Micros window = turn.settings.overload_window;
     detector.recordActivity(endpoint, result == AttemptResult::ok, latency);
     learnAt(endpoint.own, *endpoint.destination, result, latency);
-    if (!endpoint.hasOwnRoute()) learnAt(scope, *endpoint.destination, result, latency);
-    if (result == AttemptResult::throttled && !health.ejected)
+    if (!endpoint.hasOwnRoute()) {
+      learnAt(scope, *endpoint.destination, result, latency);
+    }
+    if (result == AttemptResult::throttled && !health.ejected) {
       limiter.recordThrottled(endpoint, retry_after > 0);
+    }
     if (result == AttemptResult::throttled && retry_after > 0) {
       const bool outage = retry_after > window / 2;
-      if (outage) detector.eject(health);
+      if (outage) {
+        detector.eject(health);
+      }
       const double spread = outage ? limiter.returnDelay(scope, *endpoint.destination) : 0;
       const Micros until = turn.now + retry_after + static_cast<Micros>(spread);
       scope.rate.retry_after_until = std::max(scope.rate.retry_after_until, until);
     }
     const bool moved = std::abs(health.warming_since - health.last_persisted) > window / 2;
-    if (health.ejected == was_ejected && retry_after <= 0 && !moved) return;
+    if (health.ejected == was_ejected && retry_after <= 0 && !moved) {
+      return;
+    }
     // The next process starts with a backlog, and must not overload a destination that just recovered.
     health.last_persisted = health.warming_since;
     turn.actions.emplace_back(HealthRecord{endpoint.hasOwnRoute() ? endpoint.info.id : "",
@@ -86,29 +102,41 @@
 
   void apply(const HealthRecord& record) {
     Endpoint* endpoint = find(directory.endpoints, record.endpoint);
-    if (!record.endpoint.empty() && !endpoint) return;
+    if (!record.endpoint.empty() && !endpoint) {
+      return;
+    }
     Destination& destination = directory.destination(record.destination);
     auto& [rate, health] = record.endpoint.empty() ? destination.shared : endpoint->own;
     health.ejected = record.ejected;
     health.warming_since = health.last_persisted = record.warming_since;
     rate.retry_after_until = std::max(rate.retry_after_until, record.retry_after_until);
-    if (record.ejected) health.consecutive_failures = std::max(health.consecutive_failures, 1);
+    if (record.ejected) {
+      health.consecutive_failures = std::max(health.consecutive_failures, 1);
+    }
   }
 
   bool isDue(const Message& message) const {
-    if (message.not_before > turn.now) return false;
-    if (message.order_key.empty()) return true;
+    if (message.not_before > turn.now) {
+      return false;
+    }
+    if (message.order_key.empty()) {
+      return true;
+    }
     const OrderQueue& order = order_queues.at(message.order_key);
     return order.messages.front() == &message &&
            (!message.attempts.empty() || turn.now >= order.paused_until);
   }
 
   bool accepts(Endpoint& endpoint, const Message& message) const {
-    if (!endpoint.isReady() || !policy.maySend(message, endpoint)) return false;
+    if (!endpoint.isReady() || !policy.maySend(message, endpoint)) {
+      return false;
+    }
     // Before a shutdown only calls are started whose outcome will arrive in time.
     const double patience = kOverdueRatio * kNonIdempotentPatience * detector.common_slowdown;
     const bool heard = shutdown_at - turn.now >= patience * detector.usualLatency(endpoint);
-    if (shutdown_at != kNever && (detector.isOutlier(endpoint) || !heard)) return false;
+    if (shutdown_at != kNever && (detector.isOutlier(endpoint) || !heard)) {
+      return false;
+    }
     // A non-idempotent message does not probe a failing endpoint until half of its deadline has passed.
     const HealthStats &shared = endpoint.scope().health, &own = endpoint.own.health;
     const bool risky = std::max(shared.unknown_share, own.unknown_share) > kMaxUnknownShare;
@@ -128,27 +156,40 @@
   Endpoint* chooseEndpoint(const Message& message) const {
     Endpoint* best = nullptr;
     for (Endpoint* endpoint : message.destination->endpoints) {
-      if (limiter.opensAt(*endpoint, &message) > turn.now || !accepts(*endpoint, message)) continue;
-      if (!best || rank(*endpoint) < rank(*best)) best = endpoint;
+      if (limiter.opensAt(*endpoint, &message) > turn.now || !accepts(*endpoint, message)) {
+        continue;
+      }
+      if (!best || rank(*endpoint) < rank(*best)) {
+        best = endpoint;
+      }
     }
     return best;
   }
 
   // The message that loses most by waiting until the backlog has drained.
   Message* choose(const Destination& destination) {
-    for (Endpoint* endpoint : destination.endpoints)
-      if (endpoint->isReady()) turn.wakeAt(limiter.opensAt(*endpoint, nullptr));
+    for (Endpoint* endpoint : destination.endpoints) {
+      if (endpoint->isReady()) {
+        turn.wakeAt(limiter.opensAt(*endpoint, nullptr));
+      }
+    }
     Message* best = nullptr;
     double best_loss = -1;
     const Micros drained_at = turn.now + limiter.drainTime(destination);
     for (Message* message : destination.queued) {
       turn.wakeAt(message->not_before);
-      if (!isDue(*message)) continue;
+      if (!isDue(*message)) {
+        continue;
+      }
       const double value = admission.valueAt(*message, turn.now);
       const double loss = value - admission.valueAt(*message, drained_at) + 1e-3 * value;
       const bool best_is_untried = best && best->isRecoveredUntried();
-      if (message->isRecoveredUntried() == best_is_untried ? loss <= best_loss : best_is_untried) continue;
-      if (!chooseEndpoint(*message)) continue;
+      if (message->isRecoveredUntried() == best_is_untried ? loss <= best_loss : best_is_untried) {
+        continue;
+      }
+      if (!chooseEndpoint(*message)) {
+        continue;
+      }
       best_loss = loss;
       best = message;
     }
@@ -175,10 +216,14 @@
   void fillCall(const Destination& destination, Endpoint& endpoint) {
     while (endpoint.forming_room > 0) {
       Message* oldest = nullptr;
-      for (Message* message : destination.queued)
-        if (isDue(*message) && accepts(endpoint, *message) && (!oldest || message->order < oldest->order))
+      for (Message* message : destination.queued) {
+        if (isDue(*message) && accepts(endpoint, *message) && (!oldest || message->order < oldest->order)) {
           oldest = message;
-      if (!oldest) return;
+        }
+      }
+      if (!oldest) {
+        return;
+      }
       send(*oldest, endpoint, destination.tags.front().local > turn.now);
     }
   }
@@ -200,26 +245,39 @@
   void dispatch() {
     for (const auto& [id, destination] : queue.backlog) {
       destination->blocked_at = -kNever;
-      for (Endpoint* endpoint : destination->endpoints) endpoint->forming_room = 0;
+      for (Endpoint* endpoint : destination->endpoints) {
+        endpoint->forming_room = 0;
+      }
+    }
+    while (!calls.allSlotsUsed()) {
+      if (!dispatchNext()) {
+        return;
+      }
     }
-    while (!calls.allSlotsUsed())
-      if (!dispatchNext()) return;
   }
 
   void close(Message& message) {  // without an answer
-    if (message.ended) return;
-    if (message.queued) queue.withdraw(message);
+    if (message.ended) {
+      return;
+    }
+    if (message.queued) {
+      queue.withdraw(message);
+    }
     message.ended = true;
     --open_messages;
     expiries.erase({message.expires_at, message.id});
   }
 
   void forget(const Message& message) {
-    if (!message.ended || message.attempts_in_flight > 0) return;
+    if (!message.ended || message.attempts_in_flight > 0) {
+      return;
+    }
     if (!message.order_key.empty()) {
       auto& [waiting, paused_until] = order_queues[message.order_key];
       waiting.erase(std::find(waiting.begin(), waiting.end(), &message));
-      if (waiting.empty() && turn.now >= paused_until) order_queues.erase(message.order_key);
+      if (waiting.empty() && turn.now >= paused_until) {
+        order_queues.erase(message.order_key);
+      }
     }
     messages.erase(messages.find(message.id));
   }
@@ -241,10 +299,17 @@
   // Queues a new message; null for an unknown class or a message that is known already.
   Message* accept(const Arrival& arrival) {
     const MessageClass* rules = nullptr;
-    for (const MessageClass& each : turn.settings.classes)
-      if (each.name == arrival.message_class) rules = &each;
-    if (!rules) turn.actions.emplace_back(Fail{arrival.id});
-    if (!rules || find(messages, arrival.id)) return nullptr;
+    for (const MessageClass& each : turn.settings.classes) {
+      if (each.name == arrival.message_class) {
+        rules = &each;
+      }
+    }
+    if (!rules) {
+      turn.actions.emplace_back(Fail{arrival.id});
+    }
+    if (!rules || find(messages, arrival.id)) {
+      return nullptr;
+    }
     Message& message = messages[arrival.id];
     message.id = arrival.id;
     message.rules = rules;
@@ -257,8 +322,12 @@
     message.latency_objective = std::min(rules->deadline, rules->latency_objective + stretch);
     message.expires_at = arrival.deadline.remaining(2 * turn.settings.tick);
     message.order = ++last_order;
-    if (rules->ordered) message.order_key = arrival.order_key;
-    if (!message.order_key.empty()) order_queues[message.order_key].messages.push_back(&message);
+    if (rules->ordered) {
+      message.order_key = arrival.order_key;
+    }
+    if (!message.order_key.empty()) {
+      order_queues[message.order_key].messages.push_back(&message);
+    }
     ++open_messages;
     expiries.insert({message.expires_at, message.id});
     queue.push(message, turn.now);
@@ -268,13 +337,17 @@
   void apply(const Arrival& arrival) {
     Message* message = accept(arrival);
     const bool full = open_messages > turn.settings.max_messages;
-    if (message && (full || !policy.hasAttemptLeft(*message))) giveUp(*message, true);
+    if (message && (full || !policy.hasAttemptLeft(*message))) {
+      giveUp(*message, true);
+    }
   }
 
   // Earlier attempts count. A message without one is attempted even at full capacity, as it was accepted.
   void apply(const RecoveredMessage& recovered) {
     Message* message = accept(recovered.message);
-    if (!message) return;
+    if (!message) {
+      return;
+    }
     message->recovered = recovered.after_restart;
     admission.last_accepted = message->order;
     for (const RecoveredAttempt& earlier : recovered.attempts) {
@@ -282,15 +355,18 @@
       const bool is_out = earlier.in_flight && endpoint;
       calls.add(*message, {endpoint, earlier.sent_at, ++calls.last_call, 0, is_out, earlier.may_have_run});
     }
-    if (message->attempts_in_flight > 0)
+    if (message->attempts_in_flight > 0) {
       queue.withdraw(*message);
-    else if (!policy.hasAttemptLeft(*message))
+    } else if (!policy.hasAttemptLeft(*message)) {
       giveUp(*message, turn.now < message->expires_at);
+    }
   }
 
   void apply(const Abandoned& abandoned) {
     Message* message = find(messages, abandoned.id);
-    if (!message) return;
+    if (!message) {
+      return;
+    }
     close(*message);
     forget(*message);
   }
@@ -299,7 +375,9 @@
     const auto index = static_cast<std::size_t>(outcome.attempt);
     const AttemptResult result = outcome.result;
     Message* message = find(messages, outcome.id);
-    if (!message || index >= message->attempts.size() || !message->attempts[index].in_flight) return;
+    if (!message || index >= message->attempts.size() || !message->attempts[index].in_flight) {
+      return;
+    }
     Attempt& attempt = message->attempts[index];
     Endpoint& endpoint = *attempt.endpoint;
     RateLimit& rate = endpoint.scope().rate;
@@ -312,8 +390,9 @@
     connections.recordOutcome(attempt, result);
     attempt.may_have_run = result != AttemptResult::throttled && result != AttemptResult::connect_failed &&
                            result != AttemptResult::not_sent;
-    if (outcome.load_report && outcome.load_report->limit_per_second > 0)
+    if (outcome.load_report && outcome.load_report->limit_per_second > 0) {
       RateLimiter::recordAdvertisedLimit(rate, outcome.load_report->limit_per_second);
+    }
     const Micros elapsed = outcome.round_trip_time > 0 ? outcome.round_trip_time : turn.now - attempt.sent_at;
     learn(endpoint, result, elapsed, outcome.retry_after);
     const bool may_still_run =
@@ -324,17 +403,23 @@
       turn.next_wake = std::min(turn.next_wake, paused_until);
     }
     std::vector<Message*>& queued = endpoint.destination->queued;
-    for (std::size_t i = outcome.retry_after > 0 ? queued.size() : 0; i-- > 0;)
-      if (!policy.hasAttemptLeft(*queued[i])) giveUp(*queued[i], true);
-    if (outcome.finished || result == AttemptResult::ok) close(*message);
+    for (std::size_t i = outcome.retry_after > 0 ? queued.size() : 0; i-- > 0;) {
+      if (!policy.hasAttemptLeft(*queued[i])) {
+        giveUp(*queued[i], true);
+      }
+    }
+    if (outcome.finished || result == AttemptResult::ok) {
+      close(*message);
+    }
     const bool waits = message->queued || message->attempts_in_flight > 0;
     const bool expired = turn.now >= message->expires_at;
-    if (message->ended)
+    if (message->ended) {
       forget(*message);
-    else if (!waits && (expired || !policy.hasAttemptLeft(*message)))
+    } else if (!waits && (expired || !policy.hasAttemptLeft(*message))) {
       giveUp(*message, !expired);
-    else if (!waits)
+    } else if (!waits) {
       queue.push(*message, policy.nextAttemptAt(*message, endpoint));
+    }
   }
 
   void apply(const EndpointsChanged& change) { directory.update(change); }
@@ -342,9 +427,13 @@
   void apply(const TimerFired&) {}
 
   void setTimer() {
-    if (!expiries.empty()) turn.wakeAt(expiries.begin()->at);
+    if (!expiries.empty()) {
+      turn.wakeAt(expiries.begin()->at);
+    }
     const Micros wake = std::max(turn.next_wake, turn.now + std::max<Micros>(1, turn.settings.tick));
-    if (turn.next_wake == kNever || (timer_at > turn.now && timer_at <= wake)) return;
+    if (turn.next_wake == kNever || (timer_at > turn.now && timer_at <= wake)) {
+      return;
+    }
     timer_at = wake;
     turn.actions.emplace_back(SetTimer{timer_at - turn.now});
   }
@@ -360,16 +449,20 @@
   parts.turn.actions.clear();
   parts.turn.next_wake = kNever;
   parts.admission.last_accepted = parts.last_order;
-  for (const Event& event : events) std::visit([&](const auto& each) { parts.apply(each); }, event);
+  for (const Event& event : events) {
+    std::visit([&](const auto& each) { parts.apply(each); }, event);
+  }
   parts.detector.measureCommonSlowdown();
   parts.detector.countOverdue(parts.calls);
-  while (!parts.expiries.empty() && parts.expiries.begin()->at <= now)
+  while (!parts.expiries.empty() && parts.expiries.begin()->at <= now) {
     parts.giveUp(parts.messages.at(parts.expiries.begin()->id), false);
+  }
   parts.directory.poll();
   parts.dispatch();
   parts.bulkhead.cancelExcess();
-  for (Message* message : parts.admission.selectToShed(parts.open_messages, parts.calls.allSlotsUsed()))
+  for (Message* message : parts.admission.selectToShed(parts.open_messages, parts.calls.allSlotsUsed())) {
     parts.giveUp(*message, true);
+  }
   parts.setTimer();
   return std::move(parts.turn.actions);
 }
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -29,11 +29,14 @@
   double tightest_objective = 1e300;  // the shortest latency objective of all classes, in microseconds
 
   Turn(Settings given, std::uint64_t seed) : settings(std::move(given)), random(seed) {
-    for (const MessageClass& each : settings.classes)
+    for (const MessageClass& each : settings.classes) {
       tightest_objective = std::min<double>(tightest_objective, each.latency_objective);
+    }
   }
   void wakeAt(Micros when) {
-    if (when > now) next_wake = std::min(next_wake, when);
+    if (when > now) {
+      next_wake = std::min(next_wake, when);
+    }
   }
   bool isOneOfMany() const { return kRareShare * settings.sender_count > 1; }
   // Corrected for the part of the span not observed yet, except for one of many: a few events are no rate.
@@ -112,7 +115,9 @@
   }
 };
 
-inline TrafficScope& Endpoint::scope() { return hasOwnRoute() ? own : destination->shared; }
+inline TrafficScope& Endpoint::scope() {
+  return hasOwnRoute() ? own : destination->shared;
+}
 
 struct Attempt {
   Endpoint* endpoint = nullptr;
@@ -157,17 +162,23 @@
   void add(Message& message, Attempt attempt) {
     attempt.order = ++last_attempt;
     message.attempts.push_back(attempt);
-    if (!attempt.in_flight) return;
+    if (!attempt.in_flight) {
+      return;
+    }
     attempts[attempt.order] = {&message, message.attempts.size() - 1};
     ++message.attempts_in_flight;
-    if (++attempts_in_call[attempt.call] == 1) ++attempt.endpoint->calls_in_flight;
+    if (++attempts_in_call[attempt.call] == 1) {
+      ++attempt.endpoint->calls_in_flight;
+    }
   }
 
   void remove(Message& message, Attempt& attempt) {
     attempt.in_flight = false;
     --message.attempts_in_flight;
     attempts.erase(attempt.order);
-    if (--attempts_in_call[attempt.call] > 0) return;
+    if (--attempts_in_call[attempt.call] > 0) {
+      return;
+    }
     attempts_in_call.erase(attempt.call);
     --attempt.endpoint->calls_in_flight;
   }
