--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -144,7 +144,7 @@
     ClientRequest request = parseClientRequest(resp_request.arguments);
     if (const auto* error = std::get_if<RequestError>(&request)) {
       reply(errorReply(*error), false);
-    } else if (auto* message = std::get_if<AcceptedMessage>(&request)) {
+    } else if (auto* message = std::get_if<SubmittedMessage>(&request)) {
       submit(std::move(*message), sent_at);
     } else {
       reply(server_.admission_.isDraining() ? "-ERR draining" : "+PONG", false);
@@ -159,7 +159,7 @@
     server_.admission_.onRequestConsumed(id_, input_.size());
   }
 
-  void submit(AcceptedMessage message, Micros sent_at) {
+  void submit(SubmittedMessage message, Micros sent_at) {
     message.deadline = Deadline::after(sent_at, message.time_to_live);
     ++server_.unanswered_requests_;
     server_.on_submit_(std::move(message), [self = shared_from_this()](const SubmitReply& submit_reply) {
--- a/src/network/client_server.h
+++ b/src/network/client_server.h
@@ -14,7 +14,7 @@
 #include "network/client_admission.h"
 #include "network/queue_age.h"
 #include "protocol/submit_reply.h"
-#include "storage/accepted_message.h"
+#include "storage/submitted_message.h"
 
 namespace delivery {
 
@@ -22,7 +22,7 @@
  public:
   using Reply = std::function<void(const SubmitReply&)>;  // called once
   // A client submits a message. It is answered by calling the reply, now or later.
-  using OnSubmit = std::function<void(AcceptedMessage, Reply)>;
+  using OnSubmit = std::function<void(SubmittedMessage, Reply)>;
 
   ClientServer(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor acceptor,
                ClientAdmission& admission, OnSubmit on_submit);
--- a/src/network/completion_notifier.h
+++ b/src/network/completion_notifier.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "network/discovery_client.h"
-#include "storage/accepted_message.h"
+#include "storage/submitted_message.h"
 
 namespace delivery {
 
--- a/src/network/endpoint_pool.cpp
+++ b/src/network/endpoint_pool.cpp
@@ -20,7 +20,7 @@
 // not cross the close.
 constexpr Micros kIdleMarginDivisor = 20;
 
-HttpRequest deliveryRequest(const AcceptedMessage& message) {
+HttpRequest deliveryRequest(const SubmittedMessage& message) {
   HttpRequest request;
   request.method = "POST";
   request.target = "/hook";
@@ -71,7 +71,7 @@
   return names;
 }
 
-void EndpointPool::startCall(const AcceptedMessage& message, int attempt, const std::string& endpoint,
+void EndpointPool::startCall(const SubmittedMessage& message, int attempt, const std::string& endpoint,
                              Deadline deadline) {
   const CallId id{message.id, attempt};
   Call& call = calls_[id];
--- a/src/network/endpoint_pool.h
+++ b/src/network/endpoint_pool.h
@@ -18,7 +18,7 @@
 #include "common/events.h"
 #include "network/endpoint_connection_accounting.h"
 #include "network/http_connection.h"
-#include "storage/accepted_message.h"
+#include "storage/submitted_message.h"
 
 namespace delivery {
 
@@ -43,7 +43,8 @@
   void setAddress(const std::string& endpoint, const std::string& address, bool has_own_route = false);
   std::vector<std::string> knownEndpoints() const;
   // No answer is awaited after `deadline`, connecting included.
-  void startCall(const AcceptedMessage& message, int attempt, const std::string& endpoint, Deadline deadline);
+  void startCall(const SubmittedMessage& message, int attempt, const std::string& endpoint,
+                 Deadline deadline);
   // False: there is no such call here. An answer that has arrived by now still counts.
   bool cancel(const CallId& id);
   // Calls that are not written yet are withdrawn: they did not run.
@@ -68,7 +69,7 @@
   };
   enum class ConnectionState { none, opening, in_use };  // as the accounting has it
   struct Call {
-    AcceptedMessage message;
+    SubmittedMessage message;
     std::string endpoint;
     std::string address;  // its endpoint's, when the connection was chosen
     Micros started_at = 0;
--- a/src/process/active_role.cpp
+++ b/src/process/active_role.cpp
@@ -42,7 +42,7 @@
       watch_(discoveryClient(io, configuration), configuration.seed,
              [this](const json& answer) { return driver_.onEndpointList(answer); }),
       clients_(io, listenForClients(io, configuration), admission,
-               [this](AcceptedMessage message, ClientServer::Reply reply) {
+               [this](SubmittedMessage message, ClientServer::Reply reply) {
                  driver_.submit(std::move(message), std::move(reply));
                }),
       handover_listener_(io, configuration.scratch_folder, std::move(callbacks.on_successor)) {
--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-Arrival toArrival(const AcceptedMessage& message) {
+Arrival toArrival(const SubmittedMessage& message) {
   Arrival arrival;
   arrival.id = message.id;
   arrival.message_class = message.message_class;
@@ -78,7 +78,7 @@
   const Journal::Recovered& recovered = journal_.recovered();
   recoverEndpointList(configured_endpoints, recovered.endpoint_list);
   recoverHealth(recovered.health_records, after_handover);
-  for (const JournalEntry& entry : recovered.entries) {
+  for (const JournaledMessage& entry : recovered.messages) {
     if (entry.notice_pending) {
       notifier_.enqueue(entry.message.id, entry.notice);
     } else {
@@ -86,7 +86,7 @@
     }
   }
   logRecovery(recovered, pending_messages_.size(), notifier_.pending(), (monotonicNow() - started_at) / 1000);
-  journal_.releaseRecovered();
+  journal_.discardRecovered();
 }
 
 // The newer of the two lists counts, so that a drain that was announced before a restart is not forgotten.
@@ -114,7 +114,7 @@
   }
 }
 
-void DecisionDriver::recoverMessage(const JournalEntry& entry, const std::set<CallId>& calls_in_flight,
+void DecisionDriver::recoverMessage(const JournaledMessage& entry, const std::set<CallId>& calls_in_flight,
                                     bool after_handover) {
   PendingMessage& pending = pending_messages_[entry.message.id];
   pending.message = entry.message;
@@ -200,7 +200,7 @@
 
 // ---- Events
 
-void DecisionDriver::submit(AcceptedMessage message, ClientServer::Reply reply) {
+void DecisionDriver::submit(SubmittedMessage message, ClientServer::Reply reply) {
   if (const auto immediate_reply = replyWithoutDecision(message)) {
     reply(*immediate_reply);
     return;
@@ -218,7 +218,7 @@
   addEvent(std::move(arrival));
 }
 
-std::optional<SubmitReply> DecisionDriver::replyWithoutDecision(const AcceptedMessage& message) const {
+std::optional<SubmitReply> DecisionDriver::replyWithoutDecision(const SubmittedMessage& message) const {
   const bool known_class =
       std::any_of(settings_.classes.begin(), settings_.classes.end(),
                   [&](const MessageClass& candidate) { return candidate.name == message.message_class; });
@@ -428,7 +428,7 @@
 
 void DecisionDriver::startAttempt(const SendAttempt& send, int attempt, bool persisted) {
   if (persisted) {
-    const AcceptedMessage& message = pending_messages_.at(send.id).message;
+    const SubmittedMessage& message = pending_messages_.at(send.id).message;
     const Deadline until = std::min(Deadline::after(monotonicNow(), send.timeout), message.deadline);
     endpoints_.startCall(message, attempt, send.endpoint, until);
     return;
--- a/src/process/decision_driver.h
+++ b/src/process/decision_driver.h
@@ -55,7 +55,7 @@
   bool hasEndpointList() const { return !known_destinations_.empty(); }
 
   // Calls `reply` once: at once if the message needs no decision, else when the module has decided.
-  void submit(AcceptedMessage message, ClientServer::Reply reply);
+  void submit(SubmittedMessage message, ClientServer::Reply reply);
   void onOutcome(AttemptOutcome outcome);
   void onNoticeAcknowledged(const std::string& message_id);
   void scheduleShutdown(Micros at);  // on the monotonic clock
@@ -64,7 +64,7 @@
 
  private:
   struct PendingMessage {  // submitted and not completed
-    AcceptedMessage message;
+    SubmittedMessage message;
     std::vector<std::string> attempt_endpoints;  // by attempt number
     ClientServer::Reply reply;                   // empty once the client has its answer
   };
@@ -74,7 +74,7 @@
 
   void recoverEndpointList(const json& configured_endpoints, const std::string& journaled_list);
   void recoverHealth(const std::vector<HealthRecord>& records, bool after_handover);
-  void recoverMessage(const JournalEntry& entry, const std::set<CallId>& calls_in_flight,
+  void recoverMessage(const JournaledMessage& entry, const std::set<CallId>& calls_in_flight,
                       bool after_handover);
   void addUnlistedEndpoint(const std::string& endpoint, std::int64_t destination);
 
@@ -83,7 +83,7 @@
   void updateEndpoint(const ListedEndpoint& listed);
   bool hasIndependentRoutes(const std::string& destination_kind) const;
 
-  std::optional<SubmitReply> replyWithoutDecision(const AcceptedMessage& message) const;
+  std::optional<SubmitReply> replyWithoutDecision(const SubmittedMessage& message) const;
   void recordOutcome(const AttemptOutcome& outcome);
 
   // Constructs the event in place: GCC 12 takes a moved temporary variant for one that is uninitialized.
--- a/src/programs/journal_inspect.cpp
+++ b/src/programs/journal_inspect.cpp
@@ -14,8 +14,8 @@
 
 using delivery::ByteRange;
 using delivery::ClockReadings;
-using delivery::JournalEntry;
-using delivery::RecoveredJournal;
+using delivery::JournaledMessage;
+using delivery::ReplayResult;
 
 enum class ExitCode {
   sound = 0,
@@ -31,7 +31,7 @@
   return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
-std::size_t countAttemptsThatMayHaveRun(const JournalEntry& entry) {
+std::size_t countAttemptsThatMayHaveRun(const JournaledMessage& entry) {
   std::size_t count = 0;
   for (const delivery::JournaledAttempt& attempt : entry.attempts) {
     if (!attempt.never_ran) {
@@ -41,12 +41,12 @@
   return count;
 }
 
-void printPendingNotice(const JournalEntry& entry) {
+void printPendingNotice(const JournaledMessage& entry) {
   std::cout << "notice pending " << entry.message.id << ": "
             << (entry.notice.returned ? "returned" : "abandoned") << '\n';
 }
 
-void printOpenMessage(const JournalEntry& entry, std::size_t may_have_run, delivery::Micros now) {
+void printOpenMessage(const JournaledMessage& entry, std::size_t may_have_run, delivery::Micros now) {
   std::cout << "open " << entry.message.id << ": destination " << entry.message.destination << ", "
             << entry.attempts.size() << " attempts, of which " << may_have_run << " may have run, "
             << entry.message.deadline.remaining(now) / delivery::kMicrosPerMillisecond << " ms left\n";
@@ -58,9 +58,9 @@
   std::size_t pending_notices = 0;
 };
 
-EntryCounts printEntries(const RecoveredJournal& journal, delivery::Micros now) {
+EntryCounts printEntries(const ReplayResult& journal, delivery::Micros now) {
   EntryCounts counts;
-  for (const auto& [message_id, entry] : journal.state.entries()) {
+  for (const auto& [message_id, entry] : journal.state.messages()) {
     if (entry.notice_pending) {
       ++counts.pending_notices;
       printPendingNotice(entry);
@@ -76,7 +76,7 @@
   return counts;
 }
 
-void printSummary(const RecoveredJournal& journal, std::size_t bytes, const EntryCounts& counts) {
+void printSummary(const ReplayResult& journal, std::size_t bytes, const EntryCounts& counts) {
   std::cout << journal.scan.records.size() << " records in " << bytes << " bytes, version "
             << journal.header.version << (journal.header.durable ? ", durable" : "")
             << (journal.scan.torn_write ? ", a torn write at the end" : "") << '\n';
@@ -84,7 +84,7 @@
             << counts.pending_notices << " notices pending\n";
 }
 
-void printDamage(const RecoveredJournal& journal) {
+void printDamage(const ReplayResult& journal) {
   for (const ByteRange& range : journal.scan.damaged_ranges) {
     std::cout << "damaged: bytes " << range.begin << " to " << range.end << '\n';
   }
@@ -109,7 +109,7 @@
     return ExitCode::unreadable_or_usage;
   }
   const ClockReadings now = delivery::readClocks();
-  const RecoveredJournal journal = delivery::readJournal(*data, now);
+  const ReplayResult journal = delivery::replayJournal(*data, now);
   if (!data->empty() && journal.scan.records.empty()) {
     std::cerr << "not a journal: " << path << '\n';
     return ExitCode::unreadable_or_usage;
--- a/src/protocol/message_request.cpp
+++ b/src/protocol/message_request.cpp
@@ -43,7 +43,7 @@
 // Reads a list of fields, "c=notice,d=8000,...", into a message. Fields that are not known are ignored.
 class FieldListReader {
  public:
-  explicit FieldListReader(AcceptedMessage& message) : message_(message) {}
+  explicit FieldListReader(SubmittedMessage& message) : message_(message) {}
 
   std::optional<RequestError> read(const std::string& list) {
     for (std::size_t begin = 0; begin < list.size();) {
@@ -115,7 +115,7 @@
     return std::nullopt;
   }
 
-  AcceptedMessage& message_;
+  SubmittedMessage& message_;
   bool has_time_to_live_ = false;
   bool has_destination_ = false;
 };
@@ -124,7 +124,7 @@
   if (words.size() != kMessageWords) {
     return RequestError::wrong_argument_count;
   }
-  AcceptedMessage message;
+  SubmittedMessage message;
   if (words[kOrderKeyWord].find_first_not_of('0') != std::string::npos) {  // all zeros: not ordered
     message.order_key = words[kOrderKeyWord];
   }
--- a/src/protocol/message_request.h
+++ b/src/protocol/message_request.h
@@ -5,7 +5,7 @@
 #include <variant>
 #include <vector>
 
-#include "storage/accepted_message.h"
+#include "storage/submitted_message.h"
 
 namespace delivery {
 
@@ -27,8 +27,8 @@
 // The reply line for a request in error, without its end; part of the protocol.
 const char* errorReply(RequestError error);
 
-// AcceptedMessage: of MSG.PUT; its deadline is not set, as that counts from when the request was sent.
-using ClientRequest = std::variant<PingRequest, AcceptedMessage, RequestError>;
+// SubmittedMessage: of MSG.PUT; its deadline is not set, as that counts from when the request was sent.
+using ClientRequest = std::variant<PingRequest, SubmittedMessage, RequestError>;
 
 // `words`: at least one, as a RESP request has.
 ClientRequest parseClientRequest(const std::vector<std::string>& words);
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -22,15 +22,15 @@
 constexpr std::uint64_t kQuarantineShareDivisor = 16;
 
 // What an open message may take in the file.
-std::uint64_t bytesToReserve(const AcceptedMessage& message) {
+std::uint64_t bytesToReserve(const SubmittedMessage& message) {
   return kFrameOverheadBytes + encodedSize(message) + kLifecycleBytes;
 }
 
-bool lastAttemptIsUnknown(const JournalEntry& entry) {
+bool lastAttemptIsUnknown(const JournaledMessage& entry) {
   return !entry.notice_pending && !entry.attempts.empty() && entry.attempts.back().endpoint.empty();
 }
 
-RecoveryReport reportOf(const RecoveredJournal& journal, const FileContent& content) {
+RecoveryReport reportOf(const ReplayResult& journal, const FileContent& content) {
   RecoveryReport report;
   report.records = journal.scan.records.size();
   report.bytes = content.data.size();
@@ -45,7 +45,7 @@
   return report;
 }
 
-void appendEntry(RecordBuffer& records, const JournalEntry& entry) {
+void appendEntry(RecordBuffer& records, const JournaledMessage& entry) {
   const std::string& message_id = entry.message.id;
   records.append(AcceptedRecord{entry.message});
   for (std::size_t i = 0; i < entry.attempts.size(); ++i) {
@@ -99,7 +99,7 @@
 
 void Journal::recover(const ClockReadings& now) {
   const FileContent content = readAll(files_, file_);
-  RecoveredJournal journal = readJournal(content.data, now);
+  ReplayResult journal = replayJournal(content.data, now);
   if (content.error != 0) {  // what follows in the file counts as damaged
     rewrite_required_ = true;
     journal.state.assumeUnknownAttempts();
@@ -121,7 +121,7 @@
   publishRecovered();
 }
 
-void Journal::adoptState(RecoveredJournal& journal, const ClockReadings& now) {
+void Journal::adoptState(ReplayResult& journal, const ClockReadings& now) {
   state_ = std::move(journal.state);
   clock_ = journal.clock;
   buffer_ = RecordBuffer(clock_, journal.next_sequence_number);
@@ -150,7 +150,7 @@
 }
 
 // Whether the file can stay as it is, and new records follow those in it.
-bool Journal::canAppendTo(const RecoveredJournal& journal) const {
+bool Journal::canAppendTo(const ReplayResult& journal) const {
   return journal.clock_continues && journal.header.version == kJournalVersion &&
          journal.header.durable == options_.durable && !recovered_.damaged &&
          journal.scan.duplicate_records == 0;
@@ -161,7 +161,7 @@
 void Journal::appendUnknownAttempts() {
   append(header_);
   std::vector<AttemptRecord> unknown_attempts;
-  for (const auto& [message_id, entry] : state_.entries()) {
+  for (const auto& [message_id, entry] : state_.messages()) {
     if (lastAttemptIsUnknown(entry)) {
       unknown_attempts.push_back({message_id, "", entry.attempts.back().sent_at});
     }
@@ -175,8 +175,8 @@
 }
 
 void Journal::publishRecovered() {
-  for (const JournalEntry* entry : state_.entriesInOrderOfAcceptance()) {
-    recovered_.entries.push_back(*entry);
+  for (const JournaledMessage* entry : state_.messagesInOrderOfAcceptance()) {
+    recovered_.messages.push_back(*entry);
   }
   recovered_.endpoint_list = state_.endpointList();
   for (const auto& [key, health] : state_.healthRecords()) {
@@ -186,7 +186,7 @@
 
 // ---- Records
 
-bool Journal::reserve(const AcceptedMessage& message) {
+bool Journal::reserve(const SubmittedMessage& message) {
   const std::uint64_t reserved = reserved_bytes_ + bytesToReserve(message);
   const std::uint64_t live = live_bytes_ + reserved;
   // A compacted file holds what is live, and the next compaction writes as much again beside it.
@@ -213,7 +213,7 @@
   return true;
 }
 
-void Journal::recordAccepted(const AcceptedMessage& message) {
+void Journal::recordAccepted(const SubmittedMessage& message) {
   if (!append(AcceptedRecord{message})) {
     return;
   }
@@ -237,7 +237,7 @@
 }
 
 void Journal::recordCompleted(const std::string& message_id) {
-  const JournalEntry* entry = state_.find(message_id);
+  const JournaledMessage* entry = state_.find(message_id);
   if (entry == nullptr) {
     return;
   }
@@ -258,7 +258,7 @@
 std::uint64_t Journal::liveBytes() const {
   std::uint64_t live = kMaxHeaderRecordBytes + kFrameOverheadBytes + state_.endpointList().size() +
                        state_.healthRecords().size() * kMaxHealthRecordBytes;
-  for (const auto& [message_id, entry] : state_.entries()) {
+  for (const auto& [message_id, entry] : state_.messages()) {
     live += bytesToReserve(entry.message);
   }
   return live;
@@ -358,7 +358,7 @@
   for (const auto& [key, health] : state_.healthRecords()) {
     records.append(HealthStateRecord{health});
   }
-  for (const JournalEntry* entry : state_.entriesInOrderOfAcceptance()) {
+  for (const JournaledMessage* entry : state_.messagesInOrderOfAcceptance()) {
     appendEntry(records, *entry);
   }
   return records;
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -11,7 +11,6 @@
 
 #include "common/clocks.h"
 #include "common/events.h"
-#include "storage/accepted_message.h"
 #include "storage/disk_budget.h"
 #include "storage/file_system.h"
 #include "storage/journal_error.h"
@@ -19,6 +18,7 @@
 #include "storage/record_buffer.h"
 #include "storage/recovery.h"
 #include "storage/recovery_report.h"
+#include "storage/submitted_message.h"
 
 namespace delivery {
 
@@ -29,8 +29,8 @@
     bool durable = false;          // promises outlast a power cut: synced before they are made
   };
   struct Recovered {
-    std::vector<JournalEntry> entries;  // in the order of acceptance
-    std::string endpoint_list;          // discovery's latest answer, in JSON; empty: none
+    std::vector<JournaledMessage> messages;  // in the order of acceptance
+    std::string endpoint_list;               // discovery's latest answer, in JSON; empty: none
     std::vector<HealthRecord> health_records;
     RecoveryReport report;
     bool damaged = false;
@@ -44,16 +44,16 @@
   Journal& operator=(const Journal&) = delete;
 
   const Recovered& recovered() const { return recovered_; }
-  void releaseRecovered() { recovered_ = {}; }
+  void discardRecovered() { recovered_ = {}; }
 
   // Reserves room for this message and all its later records, also during a compaction. The reservation
   // holds until the next flush, by when the message has to be recorded as accepted or rejected. False: there
   // is no room.
-  bool reserve(const AcceptedMessage& message);
+  bool reserve(const SubmittedMessage& message);
 
   // Each of these appends to a buffer, which flush() writes. A record that contradicts those before is left
   // out.
-  void recordAccepted(const AcceptedMessage& message);
+  void recordAccepted(const SubmittedMessage& message);
   void recordAttempt(const std::string& message_id, const JournaledAttempt& attempt);
   void recordNeverRan(const std::string& message_id, std::size_t attempt_index);
   void recordNoticePending(const std::string& message_id, const CompletionNotice& notice);
@@ -72,10 +72,10 @@
  private:
   FileDescriptor openOrThrow();
   void recover(const ClockReadings& now);
-  void adoptState(RecoveredJournal& journal, const ClockReadings& now);
+  void adoptState(ReplayResult& journal, const ClockReadings& now);
   void quarantineDamage(const std::string& data, const std::vector<ByteRange>& damaged_ranges);
   void truncateTornWrite(const ScanResult& scan);
-  bool canAppendTo(const RecoveredJournal& journal) const;
+  bool canAppendTo(const ReplayResult& journal) const;
   void appendUnknownAttempts();
   void publishRecovered();
 
--- a/src/storage/journal_state.cpp
+++ b/src/storage/journal_state.cpp
@@ -29,14 +29,14 @@
     return ApplyResult::contradictory;  // the attempts of the open message must not be forgotten
   }
   const std::string message_id = record.message.id;
-  JournalEntry& entry = entries_[message_id];
+  JournaledMessage& entry = messages_[message_id];
   entry.message = std::move(record.message);
   entry.acceptance_order = ++last_acceptance_order_;
   return ApplyResult::applied;
 }
 
 JournalState::ApplyResult JournalState::applyRecord(AttemptRecord& record) {
-  JournalEntry* entry = findMutable(record.message_id);
+  JournaledMessage* entry = findMutable(record.message_id);
   if (entry == nullptr || entry->notice_pending) {
     return ApplyResult::contradictory;
   }
@@ -45,7 +45,7 @@
 }
 
 JournalState::ApplyResult JournalState::applyRecord(AttemptNeverRanRecord& record) {
-  JournalEntry* entry = findMutable(record.message_id);
+  JournaledMessage* entry = findMutable(record.message_id);
   if (entry == nullptr || record.attempt_index >= entry->attempts.size()) {
     return ApplyResult::contradictory;
   }
@@ -54,7 +54,7 @@
 }
 
 JournalState::ApplyResult JournalState::applyRecord(NoticePendingRecord& record) {
-  JournalEntry* entry = findMutable(record.message_id);
+  JournaledMessage* entry = findMutable(record.message_id);
   if (entry == nullptr || entry->notice_pending) {
     return ApplyResult::contradictory;
   }
@@ -64,7 +64,7 @@
 }
 
 JournalState::ApplyResult JournalState::applyRecord(CompletedRecord& record) {
-  const bool was_open = entries_.erase(record.message_id) > 0;
+  const bool was_open = messages_.erase(record.message_id) > 0;
   return was_open ? ApplyResult::applied : ApplyResult::contradictory;
 }
 
@@ -80,7 +80,7 @@
 }
 
 void JournalState::assumeUnknownAttempts() {
-  for (auto& [message_id, entry] : entries_) {
+  for (auto& [message_id, entry] : messages_) {
     if (entry.notice_pending) {
       continue;
     }
@@ -90,34 +90,34 @@
 }
 
 void JournalState::limitDeadlines(Micros now) {
-  for (auto& [message_id, entry] : entries_) {
-    AcceptedMessage& message = entry.message;
+  for (auto& [message_id, entry] : messages_) {
+    SubmittedMessage& message = entry.message;
     if (message.time_to_live > 0) {
       message.deadline = std::min(message.deadline, Deadline::after(now, message.time_to_live));
     }
   }
 }
 
-std::vector<const JournalEntry*> JournalState::entriesInOrderOfAcceptance() const {
-  std::vector<const JournalEntry*> ordered;
-  ordered.reserve(entries_.size());
-  for (const auto& [message_id, entry] : entries_) {
+std::vector<const JournaledMessage*> JournalState::messagesInOrderOfAcceptance() const {
+  std::vector<const JournaledMessage*> ordered;
+  ordered.reserve(messages_.size());
+  for (const auto& [message_id, entry] : messages_) {
     ordered.push_back(&entry);
   }
-  std::sort(ordered.begin(), ordered.end(), [](const JournalEntry* a, const JournalEntry* b) {
+  std::sort(ordered.begin(), ordered.end(), [](const JournaledMessage* a, const JournaledMessage* b) {
     return a->acceptance_order < b->acceptance_order;
   });
   return ordered;
 }
 
-const JournalEntry* JournalState::find(const std::string& message_id) const {
-  const auto found = entries_.find(message_id);
-  return found == entries_.end() ? nullptr : &found->second;
+const JournaledMessage* JournalState::find(const std::string& message_id) const {
+  const auto found = messages_.find(message_id);
+  return found == messages_.end() ? nullptr : &found->second;
 }
 
-JournalEntry* JournalState::findMutable(const std::string& message_id) {
-  const auto found = entries_.find(message_id);
-  return found == entries_.end() ? nullptr : &found->second;
+JournaledMessage* JournalState::findMutable(const std::string& message_id) {
+  const auto found = messages_.find(message_id);
+  return found == messages_.end() ? nullptr : &found->second;
 }
 
 }  // namespace delivery
--- a/src/storage/journal_state.h
+++ b/src/storage/journal_state.h
@@ -8,14 +8,14 @@
 #include <vector>
 
 #include "common/events.h"
-#include "storage/accepted_message.h"
 #include "storage/record_codec.h"
+#include "storage/submitted_message.h"
 
 namespace delivery {
 
 // A message that is open: not delivered yet, or its client has not confirmed the notice yet.
-struct JournalEntry {
-  AcceptedMessage message;
+struct JournaledMessage {
+  SubmittedMessage message;
   std::vector<JournaledAttempt> attempts;
   bool notice_pending = false;  // the message is completed, and `notice` has to reach its client
   CompletionNotice notice;
@@ -45,9 +45,9 @@
   void limitDeadlines(Micros now);
 
   // The open messages by message id.
-  const std::map<std::string, JournalEntry>& entries() const { return entries_; }
-  std::vector<const JournalEntry*> entriesInOrderOfAcceptance() const;
-  const JournalEntry* find(const std::string& message_id) const;  // null: not open
+  const std::map<std::string, JournaledMessage>& messages() const { return messages_; }
+  std::vector<const JournaledMessage*> messagesInOrderOfAcceptance() const;
+  const JournaledMessage* find(const std::string& message_id) const;  // null: not open
 
   const std::string& endpointList() const { return endpoint_list_; }  // the latest; empty: none
   const std::map<HealthKey, HealthRecord>& healthRecords() const { return health_records_; }  // the latest
@@ -61,9 +61,9 @@
   ApplyResult applyRecord(CompletedRecord& record);
   ApplyResult applyRecord(EndpointListRecord& record);
   ApplyResult applyRecord(HealthStateRecord& record);
-  JournalEntry* findMutable(const std::string& message_id);
+  JournaledMessage* findMutable(const std::string& message_id);
 
-  std::map<std::string, JournalEntry> entries_;
+  std::map<std::string, JournaledMessage> messages_;
   std::string endpoint_list_;
   std::map<HealthKey, HealthRecord> health_records_;
   std::uint64_t last_acceptance_order_ = 0;
--- a/src/storage/record_codec.cpp
+++ b/src/storage/record_codec.cpp
@@ -85,7 +85,7 @@
   }
 
   std::string operator()(const AcceptedRecord& record) const {
-    const AcceptedMessage& message = record.message;
+    const SubmittedMessage& message = record.message;
     return PayloadWriter(RecordType::accepted)
         .text(message.id)
         .text(message.message_class)
@@ -148,7 +148,7 @@
 
 AcceptedRecord decodeAccepted(PayloadReader& reader, const PersistentClock& clock) {
   AcceptedRecord record;
-  AcceptedMessage& message = record.message;
+  SubmittedMessage& message = record.message;
   message.id = reader.text();
   message.message_class = reader.text();
   message.order_key = reader.text();
@@ -228,7 +228,7 @@
   return std::visit(Encoder(clock), record);
 }
 
-std::size_t encodedSize(const AcceptedMessage& message) {
+std::size_t encodedSize(const SubmittedMessage& message) {
   constexpr std::size_t kTextCount = 6;     // the texts that are summed up below
   constexpr std::size_t kIntegerCount = 3;  // destination, deadline, time to live
   constexpr std::size_t kByteCount = 1;     // whether it is a retry
--- a/src/storage/record_codec.h
+++ b/src/storage/record_codec.h
@@ -11,7 +11,7 @@
 
 #include "common/clocks.h"
 #include "common/events.h"
-#include "storage/accepted_message.h"
+#include "storage/submitted_message.h"
 
 namespace delivery {
 
@@ -39,7 +39,7 @@
   std::string boot;        // the kernel's boot id; empty: not known
 };
 struct AcceptedRecord {
-  AcceptedMessage message;
+  SubmittedMessage message;
 };
 struct AttemptRecord {
   std::string message_id;
@@ -83,7 +83,7 @@
 std::string encodeRecord(const Record& record, const PersistentClock& clock);
 
 // The size in bytes of the payload of an AcceptedRecord.
-std::size_t encodedSize(const AcceptedMessage& message);
+std::size_t encodedSize(const SubmittedMessage& message);
 
 // Decodes a payload, from the type on and not empty, of a record in the given version. With a
 // default-constructed `clock` points in time stay as they are on disk. Throws RecordDecodeError, also for a
--- a/src/storage/recovery.cpp
+++ b/src/storage/recovery.cpp
@@ -12,7 +12,7 @@
     journal_.scan = scanRecords(data);
   }
 
-  RecoveredJournal read() {
+  ReplayResult read() {
     findNewestHeader();
     chooseClock();
     detectPowerCut();
@@ -95,18 +95,18 @@
   }
 
   const ClockReadings& now_;
-  RecoveredJournal journal_;
+  ReplayResult journal_;
   Micros newest_time_on_disk_ = 0;  // in stored form, see PersistentClock
   std::uint64_t last_sequence_number_ = 0;
 };
 
 }  // namespace
 
-bool RecoveredJournal::damaged() const {
+bool ReplayResult::damaged() const {
   return !scan.damaged_ranges.empty() || gaps > 0 || unreadable_records > 0 || contradictory_records > 0;
 }
 
-RecoveredJournal readJournal(const std::string& data, const ClockReadings& now) {
+ReplayResult replayJournal(const std::string& data, const ClockReadings& now) {
   return JournalReader(data, now).read();
 }
 
--- a/src/storage/recovery.h
+++ b/src/storage/recovery.h
@@ -13,7 +13,7 @@
 
 namespace delivery {
 
-struct RecoveredJournal {
+struct ReplayResult {
   ScanResult scan;
   JournalState state;
   FileHeader header;                      // the newest; version 0: none was found
@@ -30,6 +30,6 @@
 };
 
 // The scan's records point into `data`, which has to outlive them.
-RecoveredJournal readJournal(const std::string& data, const ClockReadings& now);
+ReplayResult replayJournal(const std::string& data, const ClockReadings& now);
 
 }  // namespace delivery
--- a/src/storage/accepted_message.h
+++ b/src/storage/submitted_message.h
@@ -10,7 +10,7 @@
 namespace delivery {
 
 // A message as its client submitted it and as it is forwarded to an endpoint.
-struct AcceptedMessage {
+struct SubmittedMessage {
   std::string id;
   std::string message_class;
   std::string tenant;
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -25,7 +25,7 @@
     port = acceptor.local_endpoint().port();
     server =
         std::make_unique<ClientServer>(io, std::move(acceptor), admission,
-                                       [this](AcceptedMessage message, const ClientServer::Reply& reply) {
+                                       [this](SubmittedMessage message, const ClientServer::Reply& reply) {
                                          submitted = std::move(message);
                                          reply({SubmitStatus::accepted});
                                        });
@@ -45,7 +45,7 @@
   boost::asio::io_context io;
   ClientAdmission admission;
   int port = 0;
-  std::optional<AcceptedMessage> submitted;
+  std::optional<SubmittedMessage> submitted;
   std::unique_ptr<ClientServer> server;
 };
 
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -28,8 +28,8 @@
     budget.max_handshakes_per_endpoint = 2;
     return budget;
   }
-  AcceptedMessage message(const std::string& id) {
-    AcceptedMessage message;
+  SubmittedMessage message(const std::string& id) {
+    SubmittedMessage message;
     message.id = id;
     message.idempotency_key = "5c0f6e1a2b3d4c59";
     message.body = std::string("any\0bytes\r\n", 11);
@@ -472,7 +472,7 @@
   loopback::Listener unread;
   TestPool pool;
   pool.endpoints.setAddress("e", unread.address());
-  AcceptedMessage message = pool.message("m");
+  SubmittedMessage message = pool.message("m");
   message.body.assign(64u << 20, 'x');  // more than a socket's buffers hold
   pool.endpoints.startCall(message, 0, "e", within(60'000'000));
   const int fd = ::accept4(unread.fd, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
--- a/tests/process/handover_compatibility_test.cpp
+++ b/tests/process/handover_compatibility_test.cpp
@@ -176,7 +176,7 @@
   Journal journal(folder, {3'000'000});
   const Micros now = monotonicNow();
   for (const json& recorded : messages) {
-    AcceptedMessage message;
+    SubmittedMessage message;
     message.id = recorded.at("message");
     message.message_class = recorded.at("class");
     message.idempotency_key = recorded.at("idempotency_key");
@@ -197,9 +197,9 @@
   ASSERT_TRUE(journal.flush());
 }
 
-std::map<std::string, JournalEntry> openIn(const std::string& folder) {
+std::map<std::string, JournaledMessage> openIn(const std::string& folder) {
   std::ifstream file(folder + "/journal", std::ios::binary);
-  return readJournal({std::istreambuf_iterator<char>(file), {}}, readClocks()).state.entries();
+  return replayJournal({std::istreambuf_iterator<char>(file), {}}, readClocks()).state.messages();
 }
 
 // ---- The recorded predecessor and a real successor
--- a/tests/process/sender_test.cpp
+++ b/tests/process/sender_test.cpp
@@ -264,7 +264,7 @@
       TempFolder copy;
       std::filesystem::copy(setup.folder.path(), copy.path(), std::filesystem::copy_options::recursive);
       const Journal j(copy.path(), {3'000'000});
-      const auto& open = j.recovered().entries;
+      const auto& open = j.recovered().messages;
       return open.size() == 1 && open[0].attempts.size() == 1 && open[0].attempts[0].never_ran;
     }));
   }
--- a/tests/protocol/message_request_test.cpp
+++ b/tests/protocol/message_request_test.cpp
@@ -24,7 +24,7 @@
 TEST(MessageRequest, HasAllThatAClientNames) {
   const ClientRequest request = parseClientRequest(
       {"msg.put", "00a0", "id-1", "c=order,t=shop,d=8000,dest=7,k=key,again=1,unknown=x", "any body"});
-  const auto* message = std::get_if<AcceptedMessage>(&request);
+  const auto* message = std::get_if<SubmittedMessage>(&request);
   ASSERT_NE(nullptr, message);
   EXPECT_EQ("00a0", message->order_key);
   EXPECT_EQ("id-1", message->id);
@@ -40,7 +40,7 @@
 TEST(MessageRequest, WithoutOrderKeyOrRetryFlagIsNeitherOrderedNorARetry) {
   for (const char* fields : {"c=order,d=1,dest=0", "c=order,d=1,dest=0,r=0"}) {
     const ClientRequest request = parseClientRequest({"MSG.PUT", "0000", "m", fields, ""});
-    const auto* message = std::get_if<AcceptedMessage>(&request);
+    const auto* message = std::get_if<SubmittedMessage>(&request);
     ASSERT_NE(nullptr, message);
     EXPECT_EQ("", message->order_key);
     EXPECT_FALSE(message->is_retry);
--- a/tests/storage/journal_compatibility_test.cpp
+++ b/tests/storage/journal_compatibility_test.cpp
@@ -83,7 +83,7 @@
 TEST_P(RecordedJournal, IsReadAsItWas) {
   const ExpectedReading expected = loadExpectedReading(kFolder + "/" + GetParam());
   const std::string data = readFile(expected.journal_path);
-  const RecoveredJournal journal = readJournal(data, expected.read_at);
+  const ReplayResult journal = replayJournal(data, expected.read_at);
   EXPECT_EQ(expected.file_text, journal_dump::fileText(journal));
   EXPECT_EQ(expected.open_text, journal_dump::openText(journal));
 }
@@ -99,7 +99,7 @@
     const Journal journal(folder.path(), {3'000'000}, expected.read_at);
     const Journal::Recovered& recovered = journal.recovered();
     EXPECT_EQ(expected.open_text,
-              journal_dump::openText(recovered.entries, recovered.endpoint_list, recovered.health_records));
+              journal_dump::openText(recovered.messages, recovered.endpoint_list, recovered.health_records));
     EXPECT_EQ(counts_as_damaged && first_opening, recovered.damaged);
   }
 }
--- a/tests/storage/journal_fixture.h
+++ b/tests/storage/journal_fixture.h
@@ -22,8 +22,8 @@
 constexpr char kJournalPath[] = "d/journal";
 constexpr char kQuarantinePath[] = "d/journal.damaged";
 
-inline AcceptedMessage testMessage(const std::string& id, std::size_t body_bytes = 20) {
-  AcceptedMessage message;
+inline SubmittedMessage testMessage(const std::string& id, std::size_t body_bytes = 20) {
+  SubmittedMessage message;
   message.id = id;
   message.message_class = "payment";
   message.idempotency_key = "key" + id;
@@ -57,7 +57,7 @@
   return disk.content(kJournalPath);
 }
 
-inline std::size_t countAttemptsThatMayHaveRun(const JournalEntry& entry) {
+inline std::size_t countAttemptsThatMayHaveRun(const JournaledMessage& entry) {
   std::size_t count = 0;
   for (const JournaledAttempt& attempt : entry.attempts) {
     count += attempt.never_ran ? 0 : 1;
@@ -73,7 +73,7 @@
 }
 
 struct ReopenedJournal {
-  std::map<std::string, JournalEntry> entries;  // by message id
+  std::map<std::string, JournaledMessage> entries;  // by message id
   bool damaged = false;
   RecoveryReport report;
 
@@ -89,7 +89,7 @@
   ReopenedJournal reopened;
   reopened.damaged = journal.recovered().damaged;
   reopened.report = journal.recovered().report;
-  for (const JournalEntry& entry : journal.recovered().entries) {
+  for (const JournaledMessage& entry : journal.recovered().messages) {
     reopened.entries[entry.message.id] = entry;
   }
   return reopened;
--- a/tests/storage/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -20,8 +20,8 @@
 
 using loopback::TempFolder;
 
-AcceptedMessage binaryMessage(const std::string& id, std::size_t body_bytes = 20) {
-  AcceptedMessage message;
+SubmittedMessage binaryMessage(const std::string& id, std::size_t body_bytes = 20) {
+  SubmittedMessage message;
   message.id = id;
   message.message_class = "payment";
   message.idempotency_key = "key" + id;
@@ -60,12 +60,12 @@
   }
   const Journal journal(folder.path(), {kDiskBytes});
   const Journal::Recovered& recovered = journal.recovered();
-  ASSERT_EQ(2u, recovered.entries.size());
-  const JournalEntry& first = recovered.entries[0];
+  ASSERT_EQ(2u, recovered.messages.size());
+  const JournaledMessage& first = recovered.messages[0];
   EXPECT_EQ("b", first.message.id);
   EXPECT_TRUE(first.notice_pending && first.notice.returned);
   EXPECT_EQ(250, first.notice.retry_after_ms);
-  const JournalEntry& second = recovered.entries[1];
+  const JournaledMessage& second = recovered.messages[1];
   EXPECT_EQ(binaryMessage("a").body, second.message.body);
   EXPECT_EQ("keya", second.message.idempotency_key);
   EXPECT_EQ(7, second.message.destination);
@@ -103,14 +103,14 @@
     writeFile(path, both.substr(0, size));
     {
       Journal journal(folder.path(), {kDiskBytes});
-      ASSERT_EQ(1u, journal.recovered().entries.size()) << size;
+      ASSERT_EQ(1u, journal.recovered().messages.size()) << size;
       EXPECT_EQ(size > first.size(), journal.recovered().report.torn_write);
       EXPECT_FALSE(journal.recovered().damaged);
       journal.recordAccepted(binaryMessage("c"));  // what follows the cut is sound
       ASSERT_TRUE(journal.flush());
     }
     const Journal again(folder.path(), {kDiskBytes});
-    ASSERT_EQ(2u, again.recovered().entries.size()) << size;
+    ASSERT_EQ(2u, again.recovered().messages.size()) << size;
   }
 }
 
@@ -136,11 +136,11 @@
     writeFile(path, data);
     const Journal journal(folder.path(), {kDiskBytes});
     const Journal::Recovered& recovered = journal.recovered();
-    ASSERT_EQ(2u, recovered.entries.size()) << offset;
+    ASSERT_EQ(2u, recovered.messages.size()) << offset;
     EXPECT_TRUE(recovered.damaged);
-    ASSERT_EQ(1u, recovered.entries[0].attempts.size());
-    EXPECT_FALSE(recovered.entries[0].attempts[0].never_ran);
-    EXPECT_TRUE(recovered.entries[1].attempts.empty());  // accepted after the damage
+    ASSERT_EQ(1u, recovered.messages[0].attempts.size());
+    EXPECT_FALSE(recovered.messages[0].attempts[0].never_ran);
+    EXPECT_TRUE(recovered.messages[1].attempts.empty());  // accepted after the damage
   }
 }
 
@@ -163,7 +163,7 @@
   int rejected = 0;
   std::vector<std::string> open;
   for (int i = 0; i < 3000; ++i) {
-    const AcceptedMessage message = binaryMessage("m" + std::to_string(i), 3000);
+    const SubmittedMessage message = binaryMessage("m" + std::to_string(i), 3000);
     if (!journal.reserve(message)) {
       ++rejected;
       ASSERT_FALSE(open.empty());
@@ -183,7 +183,7 @@
   EXPECT_GT(accepted, 1000);
   EXPECT_GT(rejected, 1000);
   const Journal again(folder.path(), {kBudgetBytes});
-  EXPECT_EQ(open.size(), again.recovered().entries.size());
+  EXPECT_EQ(open.size(), again.recovered().messages.size());
 }
 
 TEST(Journal, ThrowsWhatFailedWhereItCannotBeOpened) {
--- a/tests/storage/power_cut_test.cpp
+++ b/tests/storage/power_cut_test.cpp
@@ -66,7 +66,7 @@
   static constexpr std::uint64_t kBudgetBytes = 200'000;
 
   void acceptAndSend(Journal& journal, int number) {
-    const AcceptedMessage message = testMessage("m" + std::to_string(number), 3000);
+    const SubmittedMessage message = testMessage("m" + std::to_string(number), 3000);
     const std::string& id = message.id;
     if (!journal.reserve(message)) {
       return;
--- a/tests/storage/record_codec_test.cpp
+++ b/tests/storage/record_codec_test.cpp
@@ -32,10 +32,10 @@
 }
 
 TEST(RecordCodec, AnAcceptedMessageIsDecodedAsItWasEncoded) {
-  AcceptedMessage message = testMessage("id");
+  SubmittedMessage message = testMessage("id");
   message.order_key = "order";
   message.is_retry = true;
-  const AcceptedMessage decoded = roundTrip(AcceptedRecord{message}).message;
+  const SubmittedMessage decoded = roundTrip(AcceptedRecord{message}).message;
   EXPECT_EQ(message.id, decoded.id);
   EXPECT_EQ(message.message_class, decoded.message_class);
   EXPECT_EQ(message.tenant, decoded.tenant);
--- a/tests/storage/recovery_model_test.cpp
+++ b/tests/storage/recovery_model_test.cpp
@@ -67,7 +67,7 @@
     now_.unix += kSecondMicros;
     Journal journal(kFolder, {kBudgetBytes, durable_}, now_, disk_);
     attempts_.clear();
-    for (const JournalEntry& entry : journal.recovered().entries) {
+    for (const JournaledMessage& entry : journal.recovered().messages) {
       if (!entry.notice_pending) {
         attempts_[entry.message.id] = entry.attempts.size();
       }
@@ -105,7 +105,7 @@
     for (int count = below(4); count > 0; --count) {
       ++last_message_;
       const std::string id = "m" + std::to_string(last_message_);
-      AcceptedMessage message = testMessage(id, static_cast<std::size_t>(below(900)));
+      SubmittedMessage message = testMessage(id, static_cast<std::size_t>(below(900)));
       message.deadline = Deadline::after(now_.monotonic, message.time_to_live);
       if (!journal.reserve(message)) {
         continue;
--- a/tests/storage/recovery_test.cpp
+++ b/tests/storage/recovery_test.cpp
@@ -211,7 +211,7 @@
   const ReopenedJournal reopened = reopen(disk);
   EXPECT_FALSE(reopened.damaged) << reopened.report;
   ASSERT_EQ(3u, reopened.entries.size());
-  const JournalEntry& run = reopened.entries.at("run");
+  const JournaledMessage& run = reopened.entries.at("run");
   EXPECT_EQ(kNow.monotonic + 5 * kSecondMicros, run.message.deadline.at());
   EXPECT_EQ("t", run.message.tenant);
   EXPECT_TRUE(run.message.is_retry);
--- a/tests/support/journal_dump.h
+++ b/tests/support/journal_dump.h
@@ -32,15 +32,15 @@
 
 // The messages that are still open, in the order of their acceptance; the last endpoint list and the health
 // records.
-inline std::string openText(std::vector<JournalEntry> entries, const std::string& list,
+inline std::string openText(std::vector<JournaledMessage> entries, const std::string& list,
                             const std::vector<HealthRecord>& health) {
   std::ostringstream out;
-  std::sort(entries.begin(), entries.end(), [](const JournalEntry& left, const JournalEntry& right) {
+  std::sort(entries.begin(), entries.end(), [](const JournaledMessage& left, const JournaledMessage& right) {
     return left.acceptance_order < right.acceptance_order;
   });
   out << "accepted messages still open: " << entries.size() << '\n';
-  for (const JournalEntry& entry : entries) {
-    const AcceptedMessage& message = entry.message;
+  for (const JournaledMessage& entry : entries) {
+    const SubmittedMessage& message = entry.message;
     const std::string prefix = "message " + quoted(message.id) + " ";
     out << prefix << "class: " << quoted(message.message_class) << '\n'
         << prefix << "tenant: " << quoted(message.tenant) << '\n'
@@ -75,10 +75,10 @@
   return out.str();
 }
 
-inline std::string openText(const RecoveredJournal& recovered) {
-  std::vector<JournalEntry> entries;
+inline std::string openText(const ReplayResult& recovered) {
+  std::vector<JournaledMessage> entries;
   std::vector<HealthRecord> health;
-  for (const auto& [id, entry] : recovered.state.entries()) {
+  for (const auto& [id, entry] : recovered.state.messages()) {
     entries.push_back(entry);
   }
   for (const auto& [key, record] : recovered.state.healthRecords()) {
@@ -87,7 +87,7 @@
   return openText(entries, recovered.state.endpointList(), health);
 }
 
-inline std::string fileText(const RecoveredJournal& recovered) {
+inline std::string fileText(const ReplayResult& recovered) {
   std::ostringstream out;
   out << "records: " << recovered.scan.records.size() << '\n';
   for (const auto& record : recovered.scan.records) {
