--- a/src/storage/damage_quarantine.cpp
+++ b/src/storage/damage_quarantine.cpp
@@ -12,8 +12,8 @@
 
 DamageQuarantine::Result DamageQuarantine::store(const std::string& data,
                                                  const std::vector<ByteRange>& ranges) {
-  const int create_if_needed = ranges.empty() ? 0 : O_CREAT;
-  const FileDescriptor file(files_, files_.open(path_, O_WRONLY | O_APPEND | create_if_needed));
+  const int create_flag = ranges.empty() ? 0 : O_CREAT;
+  const FileDescriptor file(files_, files_.open(path_, O_WRONLY | O_APPEND | create_flag));
   Result result;
   if (!file.isOpen()) {
     return result;
@@ -29,20 +29,21 @@
 
 void DamageQuarantine::storeRange(const FileDescriptor& file, const std::string& data, const ByteRange& range,
                                   Result& result) {
-  std::string kept = "\n-- bytes " + std::to_string(range.begin) + " to " + std::to_string(range.end) + "\n" +
-                     data.substr(range.begin, range.end - range.begin);
-  const std::uint64_t room = capacity_bytes_ > result.file_bytes ? capacity_bytes_ - result.file_bytes : 0;
-  if (kept.size() > room) {
-    result.dropped_bytes += kept.size() - room;
-    kept.resize(room);
+  std::string stored_text = "\n-- bytes " + std::to_string(range.begin) + " to " + std::to_string(range.end) +
+                            "\n" + data.substr(range.begin, range.end - range.begin);
+  const std::uint64_t free_bytes =
+      capacity_bytes_ > result.file_bytes ? capacity_bytes_ - result.file_bytes : 0;
+  if (stored_text.size() > free_bytes) {
+    result.dropped_bytes += stored_text.size() - free_bytes;
+    stored_text.resize(free_bytes);
   }
-  if (kept.empty()) {
+  if (stored_text.empty()) {
     return;
   }
-  if (writeAll(files_, file, kept)) {
-    result.file_bytes += kept.size();
+  if (writeAll(files_, file, stored_text)) {
+    result.file_bytes += stored_text.size();
   } else {
-    result.dropped_bytes += kept.size();
+    result.dropped_bytes += stored_text.size();
   }
 }
 
--- a/src/storage/damage_quarantine.h
+++ b/src/storage/damage_quarantine.h
@@ -1,4 +1,4 @@
-// Keeps damaged bytes of the journal in a separate file, for later inspection.
+// The quarantine file: keeps the damaged bytes of the journal for later inspection.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +12,17 @@
 
 class DamageQuarantine {
  public:
-  // At most `capacity_bytes` are kept, those of earlier runs included; the oldest stay.
+  // The file grows to at most `capacity_bytes`, including the bytes from earlier runs. When it is full, the
+  // oldest bytes stay and new ones are dropped.
   DamageQuarantine(FileSystem& files, std::string path, std::uint64_t capacity_bytes);
 
   struct Result {
-    bool opened = false;              // false: nothing could be kept, or there is nothing to keep
-    std::uint64_t file_bytes = 0;     // the file's size, if it was opened
-    std::uint64_t dropped_bytes = 0;  // that were not kept, as there was no room or the write failed
+    bool opened = false;           // false if the file can't be opened, or does not exist and is not needed
+    std::uint64_t file_bytes = 0;  // the size of the file, if it was opened
+    std::uint64_t dropped_bytes = 0;  // bytes that were not stored: the file was full or the write failed
   };
-  // Appends these ranges of `data`, each behind a line that names it. The file is created if there are any.
+  // Appends the given ranges of `data`, each after a line that states its offsets. Creates the file if there
+  // are any ranges.
   Result store(const std::string& data, const std::vector<ByteRange>& ranges);
 
  private:
--- a/src/storage/file_system.cpp
+++ b/src/storage/file_system.cpp
@@ -20,12 +20,12 @@
   return ::open(path.c_str(), flags | O_CLOEXEC, kNewFileMode);
 }
 
-ssize_t FileSystem::read(int fd, char* to, std::size_t size) {
-  return ::read(fd, to, size);
+ssize_t FileSystem::read(int fd, char* buffer, std::size_t size) {
+  return ::read(fd, buffer, size);
 }
 
-ssize_t FileSystem::write(int fd, const char* from, std::size_t size) {
-  return ::write(fd, from, size);
+ssize_t FileSystem::write(int fd, const char* data, std::size_t size) {
+  return ::write(fd, data, size);
 }
 
 int FileSystem::truncate(int fd, off_t size) {
@@ -80,10 +80,10 @@
   if (fd_ < 0) {
     return;
   }
-  const int error_before = errno;
+  const int saved_errno = errno;
   files_->close(fd_);
   fd_ = -1;
-  errno = error_before;
+  errno = saved_errno;
 }
 
 bool writeAll(FileSystem& files, const FileDescriptor& file, std::string_view data) {
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -12,51 +12,53 @@
 namespace delivery {
 namespace {
 
-// Room for the records of a message after its acceptance: attempts, their ends and its notice.
+// Space for the records that follow a message's acceptance: its attempts, their ends and its notice.
 constexpr std::uint64_t kLifecycleBytes = 1536;
-// Compaction has to free more than this.
+// A compaction that the disk budget does not require has to free more than this.
 constexpr std::uint64_t kMinCompactionGainBytes = 256u << 10;
+// Upper bounds of the sizes of framed records in bytes, used to estimate the size of a compacted file.
 constexpr std::uint64_t kMaxHeaderRecordBytes = 128;
 constexpr std::uint64_t kMaxHealthRecordBytes = 128;
-// The quarantine may take one part in so many of the disk budget.
+// The quarantine file may take up to 1/16 of the disk budget.
 constexpr std::uint64_t kQuarantineShareDivisor = 16;
 
-// What an open message may take in the file.
+// The space that an open message may take in the file, over all its records.
 std::uint64_t bytesToReserve(const SubmittedMessage& message) {
   return kFrameOverheadBytes + encodedSize(message) + kLifecycleBytes;
 }
 
-bool lastAttemptIsUnknown(const JournaledMessage& entry) {
-  return !entry.notice_pending && !entry.attempts.empty() && entry.attempts.back().endpoint.empty();
+bool lastAttemptIsUnknown(const JournaledMessage& journaled) {
+  return !journaled.notice_pending && !journaled.attempts.empty() &&
+         journaled.attempts.back().endpoint.empty();
 }
 
-RecoveryReport reportOf(const ReplayResult& journal, const FileContent& content) {
+RecoveryReport makeReport(const ReplayResult& replay, const FileContent& content) {
   RecoveryReport report;
-  report.records = journal.scan.records.size();
+  report.records = replay.scan.records.size();
   report.bytes = content.data.size();
   report.read_errno = content.error;
-  report.damaged_ranges = journal.scan.damaged_ranges.size();
-  report.gaps = journal.gaps;
-  report.unreadable_records = journal.unreadable_records;
-  report.contradictory_records = journal.contradictory_records;
-  report.duplicate_records = journal.scan.duplicate_records;
-  report.torn_write = journal.scan.torn_write;
-  report.power_cut = journal.power_cut;
+  report.damaged_ranges = replay.scan.damaged_ranges.size();
+  report.gaps = replay.gaps;
+  report.unreadable_records = replay.unreadable_records;
+  report.contradictory_records = replay.contradictory_records;
+  report.duplicate_records = replay.scan.duplicate_records;
+  report.torn_write = replay.scan.torn_write;
+  report.power_cut = replay.power_cut;
   return report;
 }
 
-void appendEntry(RecordBuffer& records, const JournaledMessage& entry) {
-  const std::string& message_id = entry.message.id;
-  records.append(AcceptedRecord{entry.message});
-  for (std::size_t i = 0; i < entry.attempts.size(); ++i) {
-    const JournaledAttempt& attempt = entry.attempts[i];
+void appendMessageRecords(RecordBuffer& records, const JournaledMessage& journaled) {
+  const std::string& message_id = journaled.message.id;
+  records.append(AcceptedRecord{journaled.message});
+  for (std::size_t i = 0; i < journaled.attempts.size(); ++i) {
+    const JournaledAttempt& attempt = journaled.attempts[i];
     records.append(AttemptRecord{message_id, attempt.endpoint, attempt.sent_at});
     if (attempt.never_ran) {
       records.append(AttemptNeverRanRecord{message_id, i});
     }
   }
-  if (entry.notice_pending) {
-    records.append(NoticePendingRecord{message_id, entry.notice});
+  if (journaled.notice_pending) {
+    records.append(NoticePendingRecord{message_id, journaled.notice});
   }
 }
 
@@ -69,7 +71,7 @@
       compaction_path_(folder + "/journal.new"),
       quarantine_path_(folder + "/journal.damaged"),
       options_(options),
-      budget_(options.disk_bytes),
+      budget_(options.disk_budget_bytes),
       file_(openOrThrow()) {
   recover(now);
 }
@@ -89,7 +91,8 @@
 // ---- Recovery
 
 FileDescriptor Journal::openOrThrow() {
-  files_.unlink(compaction_path_);  // of a compaction that was cut short: the old file is still whole
+  // A leftover of a compaction that was interrupted before its rename: the old file is still complete.
+  files_.unlink(compaction_path_);
   FileDescriptor file(files_, files_.open(path_, O_RDWR | O_CREAT | O_APPEND));
   if (!file.isOpen()) {
     throw JournalError(FileOperation::open, path_, errno);
@@ -99,71 +102,71 @@
 
 void Journal::recover(const ClockReadings& now) {
   const FileContent content = readAll(files_, file_);
-  ReplayResult journal = replayJournal(content.data, now);
-  if (content.error != 0) {  // what follows in the file counts as damaged
+  ReplayResult replay = replayJournal(content.data, now);
+  if (content.error != 0) {  // the rest of the file, which can't be read, counts as damaged
     rewrite_required_ = true;
-    journal.state.assumeUnknownAttempts();
+    replay.state.assumeUnknownAttempts();
   }
-  recovered_.damaged = journal.damaged() || rewrite_required_;
-  recovered_.report = reportOf(journal, content);
-  adoptState(journal, now);
+  recovered_.damaged = replay.damaged() || rewrite_required_;
+  recovered_.report = makeReport(replay, content);
+  adoptState(replay, now);
   const off_t size = files_.size(file_.get());
   file_size_ = size < 0 ? content.data.size() : static_cast<std::uint64_t>(size);
-  quarantineDamage(content.data, journal.scan.damaged_ranges);
-  truncateTornWrite(journal.scan);
-  if (!canAppendTo(journal) && !compact()) {
+  quarantineDamage(content.data, replay.scan.damaged_ranges);
+  truncateTornWrite(replay.scan);
+  if (!canAppendTo(replay) && !compact()) {
     appendUnknownAttempts();
   }
-  // The process before may have been killed between a write or a rename and its sync.
+  // The previous process may have been killed after a write or a rename and before its sync.
   if (options_.durable && (files_.sync(file_.get()) != 0 || files_.syncFolder(folder_) != 0)) {
     rewrite_required_ = true;
   }
   publishRecovered();
 }
 
-void Journal::adoptState(ReplayResult& journal, const ClockReadings& now) {
-  state_ = std::move(journal.state);
-  clock_ = journal.clock;
-  buffer_ = RecordBuffer(clock_, journal.next_sequence_number);
+void Journal::adoptState(ReplayResult& replay, const ClockReadings& now) {
+  state_ = std::move(replay.state);
+  clock_ = replay.clock;
+  buffer_ = RecordBuffer(clock_, replay.next_sequence_number);
   header_ = {kJournalVersion, options_.durable, clock_.shift(), clock_.toStored(now.monotonic), now.boot};
   live_bytes_ = liveBytes();
 }
 
 void Journal::quarantineDamage(const std::string& data, const std::vector<ByteRange>& damaged_ranges) {
-  DamageQuarantine quarantine(files_, quarantine_path_, options_.disk_bytes / kQuarantineShareDivisor);
+  DamageQuarantine quarantine(files_, quarantine_path_, options_.disk_budget_bytes / kQuarantineShareDivisor);
   const DamageQuarantine::Result result = quarantine.store(data, damaged_ranges);
   if (!result.opened) {
     return;
   }
   recovered_.report.quarantined = !damaged_ranges.empty();
   recovered_.report.unquarantined_bytes = result.dropped_bytes;
-  budget_ = DiskBudget::beside(options_.disk_bytes, result.file_bytes);
+  budget_ = DiskBudget::remainingBeside(options_.disk_budget_bytes, result.file_bytes);
 }
 
 void Journal::truncateTornWrite(const ScanResult& scan) {
   if (!scan.torn_write) {
     return;
   }
-  if (files_.truncate(file_.get(), static_cast<off_t>(scan.sound_end)) == 0) {
-    file_size_ = scan.sound_end;
+  if (files_.truncate(file_.get(), static_cast<off_t>(scan.valid_end)) == 0) {
+    file_size_ = scan.valid_end;
   }
 }
 
-// Whether the file can stay as it is, and new records follow those in it.
-bool Journal::canAppendTo(const ReplayResult& journal) const {
-  return journal.clock_continues && journal.header.version == kJournalVersion &&
-         journal.header.durable == options_.durable && !recovered_.damaged &&
-         journal.scan.duplicate_records == 0;
+// Whether new records can be appended to the file as it is. Otherwise it is compacted.
+bool Journal::canAppendTo(const ReplayResult& replay) const {
+  return replay.clock_continues && replay.header.version == kJournalVersion &&
+         replay.header.durable == options_.durable && !recovered_.damaged &&
+         replay.scan.duplicate_records == 0;
 }
 
-// When there is no room for a compaction: appends the attempts that recovery assumed, which the next start
-// would not know of.
+// Used if a compaction fails, for instance for lack of space. Appends the attempts that recovery assumed, as
+// the next start would not know of them otherwise.
 void Journal::appendUnknownAttempts() {
   append(header_);
   std::vector<AttemptRecord> unknown_attempts;
-  for (const auto& [message_id, entry] : state_.messages()) {
-    if (lastAttemptIsUnknown(entry)) {
-      unknown_attempts.push_back({message_id, "", entry.attempts.back().sent_at});
+  for (const auto& [message_id, journaled] : state_.messages()) {
+    if (lastAttemptIsUnknown(journaled)) {
+      unknown_attempts.push_back({message_id, "", journaled.attempts.back().sent_at});
     }
   }
   for (const AttemptRecord& attempt : unknown_attempts) {
@@ -175,8 +178,8 @@
 }
 
 void Journal::publishRecovered() {
-  for (const JournaledMessage* entry : state_.messagesInOrderOfAcceptance()) {
-    recovered_.messages.push_back(*entry);
+  for (const JournaledMessage* journaled : state_.messagesInOrderOfAcceptance()) {
+    recovered_.messages.push_back(*journaled);
   }
   recovered_.endpoint_list = state_.endpointList();
   for (const auto& [key, health] : state_.healthRecords()) {
@@ -189,7 +192,7 @@
 bool Journal::reserve(const SubmittedMessage& message) {
   const std::uint64_t reserved = reserved_bytes_ + bytesToReserve(message);
   const std::uint64_t live = live_bytes_ + reserved;
-  // A compacted file holds what is live, and the next compaction writes as much again beside it.
+  // A compacted file takes the live bytes, and the next compaction writes as many again beside it.
   if (!budget_.allowsCompaction(live, live)) {
     return false;
   }
@@ -228,7 +231,7 @@
 }
 
 void Journal::recordNeverRan(const std::string& message_id, std::size_t attempt_index) {
-  const std::size_t stored_index = static_cast<std::uint8_t>(attempt_index);  // one byte in the file
+  const std::size_t stored_index = static_cast<std::uint8_t>(attempt_index);  // stored in one byte
   append(AttemptNeverRanRecord{message_id, stored_index});
 }
 
@@ -237,11 +240,11 @@
 }
 
 void Journal::recordCompleted(const std::string& message_id) {
-  const JournaledMessage* entry = state_.find(message_id);
-  if (entry == nullptr) {
+  const JournaledMessage* journaled = state_.find(message_id);
+  if (journaled == nullptr) {
     return;
   }
-  live_bytes_ -= bytesToReserve(entry->message);
+  live_bytes_ -= bytesToReserve(journaled->message);
   append(CompletedRecord{message_id});
 }
 
@@ -258,8 +261,8 @@
 std::uint64_t Journal::liveBytes() const {
   std::uint64_t live = kMaxHeaderRecordBytes + kFrameOverheadBytes + state_.endpointList().size() +
                        state_.healthRecords().size() * kMaxHealthRecordBytes;
-  for (const auto& [message_id, entry] : state_.messages()) {
-    live += bytesToReserve(entry.message);
+  for (const auto& [message_id, journaled] : state_.messages()) {
+    live += bytesToReserve(journaled.message);
   }
   return live;
 }
@@ -281,7 +284,7 @@
   if (rewrite_required_ || !budget_.fits(size_after)) {
     return false;
   }
-  flush_error_.reset();  // of a compaction that can wait
+  flush_error_.reset();  // the compaction that failed was not needed yet
   return appendToFile();
 }
 
@@ -291,7 +294,7 @@
 
 bool Journal::appendToFile() {
   if (!writeAll(files_, file_, buffer_.data())) {
-    failed(FileOperation::write, path_);
+    setFlushError(FileOperation::write, path_);
     undoFailedAppend();
     return false;
   }
@@ -310,13 +313,14 @@
     return true;
   }
   if (files_.sync(file_.get()) != 0) {
-    return failed(FileOperation::sync, path_);
+    return setFlushError(FileOperation::sync, path_);
   }
   return true;
 }
 
-// A partial write does no harm: the buffer is written again, with the same sequence numbers. After a sync
-// that failed it is not known what is on the disk, so all is written anew into another file.
+// A partial write does no harm: the buffer is written again with the same sequence numbers, and recovery
+// drops duplicates. After a failed sync the content on the disk is unknown, so a durable journal writes all
+// of it anew to another file.
 void Journal::undoFailedAppend() {
   if (files_.truncate(file_.get(), static_cast<off_t>(file_size_)) != 0) {
     const off_t size = files_.size(file_.get());
@@ -327,8 +331,8 @@
   rewrite_required_ = rewrite_required_ || options_.durable;
 }
 
-// Writes what is open to a new file and renames it: a kill at any moment leaves the old file or the new one,
-// whole.
+// Writes the live state to a new file and renames it over the old one. A kill at any moment leaves either the
+// complete old file or the complete new one.
 bool Journal::compact() {
   const RecordBuffer records = compactedRecords();
   if (!budget_.fitsTogether(file_size_, records.size())) {
@@ -341,10 +345,10 @@
   buffer_ = RecordBuffer(clock_, records.nextSequenceNumber());
   sync_required_ = false;
   live_bytes_ = liveBytes();
-  // A name that is not on the disk may be lost in a power cut, and the old file be back.
+  // A rename that is not synced may be undone by a power cut, which brings the old file back.
   rewrite_required_ = options_.durable && files_.syncFolder(folder_) != 0;
   if (rewrite_required_) {
-    failed(FileOperation::sync, folder_);
+    setFlushError(FileOperation::sync, folder_);
   }
   return !rewrite_required_;
 }
@@ -358,8 +362,8 @@
   for (const auto& [key, health] : state_.healthRecords()) {
     records.append(HealthStateRecord{health});
   }
-  for (const JournaledMessage* entry : state_.messagesInOrderOfAcceptance()) {
-    appendEntry(records, *entry);
+  for (const JournaledMessage* journaled : state_.messagesInOrderOfAcceptance()) {
+    appendMessageRecords(records, *journaled);
   }
   return records;
 }
@@ -367,7 +371,7 @@
 bool Journal::replaceFile(const std::string& content) {
   FileDescriptor compacted(files_, files_.open(compaction_path_, O_RDWR | O_CREAT | O_TRUNC | O_APPEND));
   if (!compacted.isOpen()) {
-    return failed(FileOperation::open, compaction_path_);
+    return setFlushError(FileOperation::open, compaction_path_);
   }
   if (!writeAndRename(compacted, content)) {
     compacted.reset();
@@ -380,19 +384,19 @@
 
 bool Journal::writeAndRename(const FileDescriptor& compacted, const std::string& content) {
   if (!writeAll(files_, compacted, content)) {
-    return failed(FileOperation::write, compaction_path_);
+    return setFlushError(FileOperation::write, compaction_path_);
   }
   if (options_.durable && files_.sync(compacted.get()) != 0) {
-    return failed(FileOperation::sync, compaction_path_);
+    return setFlushError(FileOperation::sync, compaction_path_);
   }
   if (files_.rename(compaction_path_, path_) != 0) {
-    return failed(FileOperation::rename, compaction_path_);
+    return setFlushError(FileOperation::rename, compaction_path_);
   }
   return true;
 }
 
-// Keeps errno of the failed call for flushError(). Always returns false.
-bool Journal::failed(FileOperation operation, const std::string& path) {
+// Stores errno of the failed call for flushError(). Always returns false.
+bool Journal::setFlushError(FileOperation operation, const std::string& path) {
   flush_error_.emplace(operation, path, errno);
   return false;
 }
--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -1,6 +1,8 @@
-// The write-ahead journal of accepted messages: records are appended and flushed before what they promise is
-// done. Records that are no longer needed are dropped by a compaction, which writes a new file and renames
-// it. It records events and decides nothing. Format and promises: docs/journal.md.
+// The write-ahead journal of accepted messages. A record is appended and flushed before the action that it
+// stands for takes effect: before a client gets the reply that its message is accepted, and before a message
+// is sent to an endpoint. A compaction drops the records that are no longer needed: it writes a new file and
+// renames it over the old one. The journal records events and makes no delivery decisions.
+// Format and guarantees: docs/journal.md.
 #pragma once
 
 #include <cstddef>
@@ -25,18 +27,22 @@
 class Journal {
  public:
   struct Options {
-    std::uint64_t disk_bytes = 0;  // for all files of the journal together
-    bool durable = false;          // promises outlast a power cut: synced before they are made
+    std::uint64_t disk_budget_bytes = 0;  // limit for all files of the journal together
+    // Whether flush() syncs accepted messages and attempts, so that they survive a power cut. Without it,
+    // flushed records survive the end of the process, but some may be lost if the machine fails.
+    bool durable = false;
   };
+  // What the journal held when it was opened.
   struct Recovered {
-    std::vector<JournaledMessage> messages;  // in the order of acceptance
-    std::string endpoint_list;               // discovery's latest answer, in JSON; empty: none
-    std::vector<HealthRecord> health_records;
+    std::vector<JournaledMessage> messages;    // the open ones, in the order of acceptance
+    std::string endpoint_list;                 // the latest, in JSON; empty if there is none
+    std::vector<HealthRecord> health_records;  // the latest of each destination or endpoint
     RecoveryReport report;
-    bool damaged = false;
+    bool damaged = false;  // records may have been lost, other than by a torn write
   };
 
-  // Opens or creates the journal in `folder`. Throws JournalError when it can't be opened.
+  // Opens the journal in `folder`, or creates it, and recovers its content. Throws JournalError if the file
+  // can't be opened.
   Journal(const std::string& folder, Options options, const ClockReadings& now = readClocks(),
           FileSystem& files = FileSystem::system());
   ~Journal();
@@ -44,38 +50,45 @@
   Journal& operator=(const Journal&) = delete;
 
   const Recovered& recovered() const { return recovered_; }
+  // Frees the memory of recovered(), which is empty from then on.
   void discardRecovered() { recovered_ = {}; }
 
-  // Reserves room for this message and all its later records, also during a compaction. The reservation
-  // holds until the next flush, by when the message has to be recorded as accepted or rejected. False: there
-  // is no room.
+  // Reserves disk space for this message and all its later records, including the space that a compaction
+  // needs. The reservation lasts until the next flush(): by then the message has to be recorded as accepted,
+  // or to have been rejected. Returns false if the disk budget does not suffice.
   bool reserve(const SubmittedMessage& message);
 
-  // Each of these appends to a buffer, which flush() writes. A record that contradicts those before is left
-  // out.
+  // Each of the following calls appends a record to a buffer, which flush() writes. A record that contradicts
+  // earlier ones is ignored.
   void recordAccepted(const SubmittedMessage& message);
   void recordAttempt(const std::string& message_id, const JournaledAttempt& attempt);
+  // The endpoint certainly did not process this attempt. Index 0 is the first attempt of the message.
   void recordNeverRan(const std::string& message_id, std::size_t attempt_index);
+  // The message has ended without delivery, and its client has yet to confirm the notice of that.
   void recordNoticePending(const std::string& message_id, const CompletionNotice& notice);
-  void recordCompleted(const std::string& message_id);  // delivered, withdrawn, or its notice was confirmed
-  void recordEndpointList(const std::string& list);
+  // The message was delivered or withdrawn, or its client has confirmed the notice.
+  void recordCompleted(const std::string& message_id);
+  void recordEndpointList(const std::string& list);  // discovery's answer, in JSON
   void recordHealth(const HealthRecord& health);
 
-  // False: what the buffered records promise must not be done. They stay buffered for the next flush.
+  // Writes the buffered records. A durable journal syncs them if accepted messages or attempts are among
+  // them. Returns false on failure: the actions that these records stand for must not take effect, and the
+  // records stay buffered for the next flush().
   bool flush();
-  // The file call that made the last flush() fail; none if it succeeded or the disk budget was used up.
+  // The file operation that made the latest flush() fail. Empty if it succeeded, or if it failed because the
+  // disk budget was used up.
   const std::optional<JournalError>& flushError() const { return flush_error_; }
 
-  // Flushes and closes; from then on another process may own the files.
+  // Flushes and closes the file. From then on another process may own the files.
   void close();
 
  private:
   FileDescriptor openOrThrow();
   void recover(const ClockReadings& now);
-  void adoptState(ReplayResult& journal, const ClockReadings& now);
+  void adoptState(ReplayResult& replay, const ClockReadings& now);
   void quarantineDamage(const std::string& data, const std::vector<ByteRange>& damaged_ranges);
   void truncateTornWrite(const ScanResult& scan);
-  bool canAppendTo(const ReplayResult& journal) const;
+  bool canAppendTo(const ReplayResult& replay) const;
   void appendUnknownAttempts();
   void publishRecovered();
 
@@ -90,7 +103,7 @@
   RecordBuffer compactedRecords() const;
   bool replaceFile(const std::string& content);
   bool writeAndRename(const FileDescriptor& compacted, const std::string& content);
-  bool failed(FileOperation operation, const std::string& path);
+  bool setFlushError(FileOperation operation, const std::string& path);
 
   FileSystem& files_;
   std::string folder_;
@@ -98,16 +111,16 @@
   std::string compaction_path_;
   std::string quarantine_path_;
   Options options_;
-  DiskBudget budget_;  // without the quarantine's file
+  DiskBudget budget_;  // what is left of options_.disk_budget_bytes beside the quarantine file
 
   FileDescriptor file_;
-  std::uint64_t file_size_ = 0;
-  std::uint64_t live_bytes_ = 0;      // the size of the file after a compaction, at most
-  std::uint64_t reserved_bytes_ = 0;  // for messages that are accepted or rejected by the next flush
+  std::uint64_t file_size_ = 0;       // in bytes
+  std::uint64_t live_bytes_ = 0;      // upper bound of the file size after a compaction
+  std::uint64_t reserved_bytes_ = 0;  // for messages that will be accepted or rejected by the next flush()
 
   RecordBuffer buffer_;
-  bool sync_required_ = false;     // the buffer holds records whose promises need a sync
-  bool rewrite_required_ = false;  // the file may not be on the disk as written: it must be written anew
+  bool sync_required_ = false;     // the buffer holds records that a durable journal has to sync
+  bool rewrite_required_ = false;  // the content on the disk is uncertain: the file has to be written anew
   std::optional<JournalError> flush_error_;
 
   JournalState state_;
--- a/src/storage/journal_error.h
+++ b/src/storage/journal_error.h
@@ -1,4 +1,4 @@
-// A file call of the journal that failed.
+// The exception for a failed file operation of the journal.
 #pragma once
 
 #include <string>
@@ -8,8 +8,10 @@
 
 enum class FileOperation { open, write, sync, rename };
 
+// The name as it appears in the log.
 const char* toString(FileOperation operation);
 
+// Carries the operation, the path and errno, which is the value of code().
 class JournalError : public std::system_error {
  public:
   JournalError(FileOperation operation, const std::string& path, int error_number);
--- a/src/storage/journal_state.cpp
+++ b/src/storage/journal_state.cpp
@@ -7,7 +7,7 @@
 namespace delivery {
 namespace {
 
-// The time of an unknown attempt of a message that has no known one: long ago.
+// The time of the attempt that is assumed for a message without any recorded attempt: long ago.
 constexpr Micros kUnknownAttemptTime = INT64_MIN / 4;
 
 }  // namespace
@@ -26,40 +26,40 @@
 
 JournalState::ApplyResult JournalState::applyRecord(AcceptedRecord& record) {
   if (find(record.message.id) != nullptr) {
-    return ApplyResult::contradictory;  // the attempts of the open message must not be forgotten
+    return ApplyResult::contradictory;  // the attempts of the open message must not be lost
   }
   const std::string message_id = record.message.id;
-  JournaledMessage& entry = messages_[message_id];
-  entry.message = std::move(record.message);
-  entry.acceptance_order = ++last_acceptance_order_;
+  JournaledMessage& journaled = messages_[message_id];
+  journaled.message = std::move(record.message);
+  journaled.acceptance_order = ++last_acceptance_order_;
   return ApplyResult::applied;
 }
 
 JournalState::ApplyResult JournalState::applyRecord(AttemptRecord& record) {
-  JournaledMessage* entry = findMutable(record.message_id);
-  if (entry == nullptr || entry->notice_pending) {
+  JournaledMessage* journaled = findMutable(record.message_id);
+  if (journaled == nullptr || journaled->notice_pending) {
     return ApplyResult::contradictory;
   }
-  entry->attempts.push_back({std::move(record.endpoint), record.sent_at, false});
+  journaled->attempts.push_back({std::move(record.endpoint), record.sent_at, false});
   return ApplyResult::applied;
 }
 
 JournalState::ApplyResult JournalState::applyRecord(AttemptNeverRanRecord& record) {
-  JournaledMessage* entry = findMutable(record.message_id);
-  if (entry == nullptr || record.attempt_index >= entry->attempts.size()) {
+  JournaledMessage* journaled = findMutable(record.message_id);
+  if (journaled == nullptr || record.attempt_index >= journaled->attempts.size()) {
     return ApplyResult::contradictory;
   }
-  entry->attempts[record.attempt_index].never_ran = true;
+  journaled->attempts[record.attempt_index].never_ran = true;
   return ApplyResult::applied;
 }
 
 JournalState::ApplyResult JournalState::applyRecord(NoticePendingRecord& record) {
-  JournaledMessage* entry = findMutable(record.message_id);
-  if (entry == nullptr || entry->notice_pending) {
+  JournaledMessage* journaled = findMutable(record.message_id);
+  if (journaled == nullptr || journaled->notice_pending) {
     return ApplyResult::contradictory;
   }
-  entry->notice_pending = true;
-  entry->notice = record.notice;
+  journaled->notice_pending = true;
+  journaled->notice = record.notice;
   return ApplyResult::applied;
 }
 
@@ -80,18 +80,19 @@
 }
 
 void JournalState::assumeUnknownAttempts() {
-  for (auto& [message_id, entry] : messages_) {
-    if (entry.notice_pending) {
+  for (auto& [message_id, journaled] : messages_) {
+    if (journaled.notice_pending) {
       continue;
     }
-    const Micros sent_at = entry.attempts.empty() ? kUnknownAttemptTime : entry.attempts.back().sent_at;
-    entry.attempts.push_back({"", sent_at, false});
+    const Micros sent_at =
+        journaled.attempts.empty() ? kUnknownAttemptTime : journaled.attempts.back().sent_at;
+    journaled.attempts.push_back({"", sent_at, false});
   }
 }
 
 void JournalState::limitDeadlines(Micros now) {
-  for (auto& [message_id, entry] : messages_) {
-    SubmittedMessage& message = entry.message;
+  for (auto& [message_id, journaled] : messages_) {
+    SubmittedMessage& message = journaled.message;
     if (message.time_to_live > 0) {
       message.deadline = std::min(message.deadline, Deadline::after(now, message.time_to_live));
     }
@@ -101,8 +102,8 @@
 std::vector<const JournaledMessage*> JournalState::messagesInOrderOfAcceptance() const {
   std::vector<const JournaledMessage*> ordered;
   ordered.reserve(messages_.size());
-  for (const auto& [message_id, entry] : messages_) {
-    ordered.push_back(&entry);
+  for (const auto& [message_id, journaled] : messages_) {
+    ordered.push_back(&journaled);
   }
   std::sort(ordered.begin(), ordered.end(), [](const JournaledMessage* a, const JournaledMessage* b) {
     return a->acceptance_order < b->acceptance_order;
--- a/src/storage/journal_state.h
+++ b/src/storage/journal_state.h
@@ -1,5 +1,6 @@
-// What the records of a journal together leave open: messages with their attempts and notices, the endpoint
-// list, and health. It is kept both while a file is read and while one is written.
+// The state that the records of a journal add up to: the open messages with their attempts and notices, the
+// endpoint list and the health records. Recovery builds it by replaying a file, and a running journal keeps
+// it up to date with each record that it appends.
 #pragma once
 
 #include <cstdint>
@@ -13,18 +14,18 @@
 
 namespace delivery {
 
-// A message that is open: not delivered yet, or its client has not confirmed the notice yet.
+// An open message: it is not delivered yet, or its client has not confirmed the notice yet.
 struct JournaledMessage {
   SubmittedMessage message;
   std::vector<JournaledAttempt> attempts;
-  bool notice_pending = false;  // the message is completed, and `notice` has to reach its client
+  bool notice_pending = false;  // delivery has ended without success, and the client has to get `notice`
   CompletionNotice notice;
-  std::uint64_t acceptance_order = 0;  // ascending in the order of acceptance
+  std::uint64_t acceptance_order = 0;  // ascending in the order in which the messages were accepted
 };
 
 struct HealthKey {
   std::int64_t destination = 0;
-  std::string endpoint;  // empty: the destination itself
+  std::string endpoint;  // empty for the destination itself
 };
 bool operator<(const HealthKey& a, const HealthKey& b);
 
@@ -32,25 +33,27 @@
  public:
   enum class ApplyResult {
     applied,
-    contradictory,  // it does not fit the records before; nothing was changed
+    contradictory,  // the record does not fit the earlier ones; the state is unchanged
   };
   ApplyResult apply(Record record);
 
-  // Adds to each message without a pending notice an attempt that may have run, as the records of such an
-  // attempt may be lost: a message that must not run twice is not sent again. The cost: it may be abandoned
-  // though it was never sent.
+  // Adds an attempt that may have run to each message without a pending notice, as the records of such an
+  // attempt may have been lost. Therefore a message that must not run twice is not sent again. The cost is
+  // that it may be abandoned although it was never sent.
   void assumeUnknownAttempts();
 
-  // Lowers the deadlines so that no message has more than its whole time to live from `now` on.
+  // Lowers deadlines so that no message has more time left at `now` than its whole time to live.
   void limitDeadlines(Micros now);
 
   // The open messages by message id.
   const std::map<std::string, JournaledMessage>& messages() const { return messages_; }
   std::vector<const JournaledMessage*> messagesInOrderOfAcceptance() const;
-  const JournaledMessage* find(const std::string& message_id) const;  // null: not open
+  const JournaledMessage* find(const std::string& message_id) const;  // null if it is not open
 
-  const std::string& endpointList() const { return endpoint_list_; }  // the latest; empty: none
-  const std::map<HealthKey, HealthRecord>& healthRecords() const { return health_records_; }  // the latest
+  // The latest endpoint list, in JSON; empty if there is none.
+  const std::string& endpointList() const { return endpoint_list_; }
+  // The latest health record of each destination or endpoint.
+  const std::map<HealthKey, HealthRecord>& healthRecords() const { return health_records_; }
 
  private:
   ApplyResult applyRecord(FileHeader& header);
--- a/src/storage/little_endian.h
+++ b/src/storage/little_endian.h
@@ -1,4 +1,4 @@
-// Unsigned integers as the journal's file format stores them, least significant byte first.
+// Conversion of unsigned integers to and from the journal's file format: least significant byte first.
 #pragma once
 
 #include <cstddef>
@@ -8,18 +8,18 @@
 namespace delivery {
 
 template <class Unsigned>
-void appendLittleEndian(std::string& out, Unsigned value) {
+void appendLittleEndian(std::string& output, Unsigned value) {
   for (std::size_t i = 0; i < sizeof value; ++i) {
-    out.push_back(static_cast<char>(value >> (8 * i) & 0xff));
+    output.push_back(static_cast<char>(value >> (8 * i) & 0xff));
   }
 }
 
-// The caller makes sure that `in` holds sizeof(Unsigned) bytes from `offset` on.
+// The caller has to make sure that `data` holds sizeof(Unsigned) bytes from `offset` on.
 template <class Unsigned>
-Unsigned readLittleEndian(std::string_view in, std::size_t offset) {
+Unsigned readLittleEndian(std::string_view data, std::size_t offset) {
   Unsigned value = 0;
   for (std::size_t i = 0; i < sizeof value; ++i) {
-    const auto byte = static_cast<unsigned char>(in[offset + i]);
+    const auto byte = static_cast<unsigned char>(data[offset + i]);
     value = static_cast<Unsigned>(value | static_cast<Unsigned>(byte) << (8 * i));
   }
   return value;
--- a/src/storage/record_buffer.h
+++ b/src/storage/record_buffer.h
@@ -1,4 +1,4 @@
-// Encoded and framed records in a row, with ascending sequence numbers, that wait to be written.
+// A buffer of encoded and framed records with ascending sequence numbers, to be written to the journal.
 #pragma once
 
 #include <cstddef>
@@ -21,7 +21,7 @@
     data_ += frameRecord(next_sequence_number_, encodeRecord(record, clock_));
     ++next_sequence_number_;
   }
-  void clear() { data_.clear(); }  // the sequence numbers go on
+  void clear() { data_.clear(); }  // does not reset the sequence numbers
 
   const std::string& data() const { return data_; }
   std::size_t size() const { return data_.size(); }  // in bytes
--- a/src/storage/record_codec.cpp
+++ b/src/storage/record_codec.cpp
@@ -30,7 +30,7 @@
   std::string out_;
 };
 
-// Reads the fields in their order. In version 1 lengths, booleans and indices take 8 bytes.
+// Reads the fields of a payload in order. In version 1, lengths, booleans and indices take 8 bytes each.
 class PayloadReader {
  public:
   PayloadReader(std::string_view payload, std::int64_t version) : payload_(payload), version_(version) {}
@@ -49,7 +49,7 @@
     offset_ += length;
     return value;
   }
-  // Fields that were added later are missing in older records.
+  // False at the end of the payload: older records lack the fields that were added later.
   bool hasMore() const { return remaining() > 0; }
 
  private:
@@ -80,7 +80,7 @@
         .boolean(header.durable)
         .integer(header.clock_shift)
         .integer(header.written_at)
-        .text(header.boot)
+        .text(header.boot_id)
         .take();
   }
 
@@ -229,9 +229,9 @@
 }
 
 std::size_t encodedSize(const SubmittedMessage& message) {
-  constexpr std::size_t kTextCount = 6;     // the texts that are summed up below
-  constexpr std::size_t kIntegerCount = 3;  // destination, deadline, time to live
-  constexpr std::size_t kByteCount = 1;     // whether it is a retry
+  constexpr std::size_t kTextCount = 6;     // the texts whose sizes are added below
+  constexpr std::size_t kIntegerCount = 3;  // destination, deadline and time to live
+  constexpr std::size_t kByteCount = 1;     // is_retry
   constexpr std::size_t kFixedBytes = sizeof(RecordType) + kTextCount * sizeof(std::uint32_t) +
                                       kIntegerCount * sizeof(std::uint64_t) + kByteCount;
   return kFixedBytes + message.id.size() + message.message_class.size() + message.tenant.size() +
@@ -242,7 +242,7 @@
   return static_cast<RecordType>(payload.front());
 }
 
-// There are headers since version 2 only, so their form does not depend on the frame's version.
+// File headers exist since version 2 only, so their format does not depend on the version of the frame.
 FileHeader decodeFileHeader(std::string_view payload) {
   PayloadReader reader(payload, kJournalVersion);
   FileHeader header;
@@ -250,7 +250,7 @@
   header.durable = reader.boolean();
   header.clock_shift = reader.integer();
   header.written_at = reader.integer();
-  header.boot = reader.text();
+  header.boot_id = reader.text();
   return header;
 }
 
--- a/src/storage/record_codec.h
+++ b/src/storage/record_codec.h
@@ -1,5 +1,5 @@
-// Encoding and decoding of one journal record's payload: its type and its fields, without the frame around
-// them (record_frame.h). Format: docs/journal.md.
+// Encodes and decodes the payload of a journal record: its type and its fields, without the frame around them
+// (record_frame.h). Format: docs/journal.md.
 #pragma once
 
 #include <cstddef>
@@ -15,10 +15,10 @@
 
 namespace delivery {
 
-// The version that is written. Version 1 can be read.
+// The format version that is written. Version 1 can still be read.
 constexpr std::int64_t kJournalVersion = 2;
 
-// The first byte of a payload; the letters are part of the file format.
+// The first byte of a payload. The letters are part of the file format.
 enum class RecordType : char {
   file_header = 'V',
   accepted = 'A',
@@ -30,13 +30,13 @@
   health = 'H',
 };
 
-// The first record of a file; written once more when one of its values changes.
+// The first record of a file. It is written again when one of its values changes.
 struct FileHeader {
   std::int64_t version = 0;
-  bool durable = false;    // what was promised had been synced before
-  Micros clock_shift = 0;  // of the PersistentClock of all times in the file
+  bool durable = false;    // accepted messages and attempts were synced, see Journal::Options
+  Micros clock_shift = 0;  // the shift of the PersistentClock for all times in the file
   Micros written_at = 0;   // in stored form, see PersistentClock
-  std::string boot;        // the kernel's boot id; empty: not known
+  std::string boot_id;     // the kernel's boot id; empty if it is unknown
 };
 struct AcceptedRecord {
   SubmittedMessage message;
@@ -48,7 +48,7 @@
 };
 struct AttemptNeverRanRecord {
   std::string message_id;
-  std::size_t attempt_index = 0;
+  std::size_t attempt_index = 0;  // 0 is the first attempt of the message
 };
 struct NoticePendingRecord {
   std::string message_id;
@@ -58,7 +58,7 @@
   std::string message_id;
 };
 struct EndpointListRecord {
-  std::string list;  // discovery's answer, in JSON
+  std::string list;  // the answer of discovery, in JSON
 };
 struct HealthStateRecord {
   HealthRecord health;
@@ -67,7 +67,7 @@
 using Record = std::variant<FileHeader, AcceptedRecord, AttemptRecord, AttemptNeverRanRecord,
                             NoticePendingRecord, CompletedRecord, EndpointListRecord, HealthStateRecord>;
 
-// A payload whose checksum is right, but which this program does not understand.
+// The exception for a payload with a correct checksum that can't be decoded.
 class RecordDecodeError : public std::runtime_error {
  public:
   enum class Reason { too_short, unknown_type, newer_version };
@@ -78,22 +78,22 @@
   Reason reason_;
 };
 
-// The payload in version kJournalVersion, from the type on. `clock` converts points in time to their stored
-// form.
+// Returns the payload in version kJournalVersion, beginning with the type. `clock` converts points in time to
+// their stored form.
 std::string encodeRecord(const Record& record, const PersistentClock& clock);
 
-// The size in bytes of the payload of an AcceptedRecord.
+// The size of the payload of an AcceptedRecord in bytes.
 std::size_t encodedSize(const SubmittedMessage& message);
 
-// Decodes a payload, from the type on and not empty, of a record in the given version. With a
-// default-constructed `clock` points in time stay as they are on disk. Throws RecordDecodeError, also for a
-// header of a newer version.
+// Decodes the payload of a record of the given version. The payload begins with the type and must not be
+// empty. With a default-constructed `clock`, points in time keep their stored form. Throws RecordDecodeError,
+// also for a file header of a newer version.
 Record decodeRecord(std::string_view payload, std::int64_t version, const PersistentClock& clock);
 
-// Decodes the payload of a file header, also of a newer version. Throws RecordDecodeError.
+// Decodes the payload of a file header, including one of a newer version. Throws RecordDecodeError.
 FileHeader decodeFileHeader(std::string_view payload);
 
-// The type of a payload that is not empty; it may be one that RecordType does not list.
+// Returns the type of a payload, which must not be empty. The value may be one that RecordType does not list.
 RecordType recordTypeOf(std::string_view payload);
 
 }  // namespace delivery
--- a/src/storage/record_frame.cpp
+++ b/src/storage/record_frame.cpp
@@ -11,9 +11,9 @@
 constexpr std::size_t kVersionOffset = kFrameMark.size();
 constexpr std::size_t kLengthOffset = kVersionOffset + 1;
 constexpr std::size_t kPayloadChecksumOffset = kLengthOffset + 4;
-constexpr std::size_t kHeadChecksumOffset = kPayloadChecksumOffset + 4;  // from version 2 on
-constexpr std::size_t kHeadBytesVersion1 = kHeadChecksumOffset;
-static_assert(kFrameHeadBytes == kHeadChecksumOffset + 4);
+constexpr std::size_t kHeaderChecksumOffset = kPayloadChecksumOffset + 4;  // since version 2
+constexpr std::size_t kHeaderBytesVersion1 = kHeaderChecksumOffset;
+static_assert(kFrameHeaderBytes == kHeaderChecksumOffset + 4);
 
 constexpr std::uint32_t kMaxPayloadBytes = 4u << 20;
 
@@ -29,43 +29,43 @@
   return result;
 }
 
-// `data` begins with a mark and holds a head of version 1. That version has no checksum of the head, so a
-// payload that was cut short can't be told from a damaged length.
+// `data` has to begin with a mark and to hold a frame header of version 1. That version has no checksum of
+// the header, so a truncated payload can't be told from a damaged length.
 FrameParseResult parseVersion1(std::string_view data) {
   const auto length = readLittleEndian<std::uint32_t>(data, kLengthOffset);
-  if (length < 1 || length > kMaxPayloadBytes || length > data.size() - kHeadBytesVersion1) {
+  if (length < 1 || length > kMaxPayloadBytes || length > data.size() - kHeaderBytesVersion1) {
     return withStatus(FrameParseResult::Status::invalid);
   }
-  const std::string_view payload = data.substr(kHeadBytesVersion1, length);
+  const std::string_view payload = data.substr(kHeaderBytesVersion1, length);
   if (crc32(payload) != readLittleEndian<std::uint32_t>(data, kPayloadChecksumOffset)) {
     return withStatus(FrameParseResult::Status::invalid);
   }
-  return {FrameParseResult::Status::valid, {0, 1, payload}, kHeadBytesVersion1 + length};
+  return {FrameParseResult::Status::valid, {0, 1, payload}, kHeaderBytesVersion1 + length};
 }
 
-// `data` begins with a mark and holds at least a head of version 1.
+// `data` has to begin with a mark and to hold at least a frame header of version 1.
 FrameParseResult parseVersion2(std::string_view data) {
-  if (data.size() < kFrameHeadBytes) {
+  if (data.size() < kFrameHeaderBytes) {
     return withStatus(FrameParseResult::Status::invalid);
   }
-  const std::string_view checked_head = data.substr(0, kHeadChecksumOffset);
-  if (crc32(checked_head) != readLittleEndian<std::uint32_t>(data, kHeadChecksumOffset)) {
+  const std::string_view checked_header = data.substr(0, kHeaderChecksumOffset);
+  if (crc32(checked_header) != readLittleEndian<std::uint32_t>(data, kHeaderChecksumOffset)) {
     return withStatus(FrameParseResult::Status::invalid);
   }
   const auto length = readLittleEndian<std::uint32_t>(data, kLengthOffset);
   if (length <= kSequenceNumberBytes || length > kMaxPayloadBytes) {
     return withStatus(FrameParseResult::Status::invalid);
   }
-  if (length > data.size() - kFrameHeadBytes) {
+  if (length > data.size() - kFrameHeaderBytes) {
     return withStatus(FrameParseResult::Status::truncated);
   }
-  const std::string_view numbered_payload = data.substr(kFrameHeadBytes, length);
+  const std::string_view numbered_payload = data.substr(kFrameHeaderBytes, length);
   if (crc32(numbered_payload) != readLittleEndian<std::uint32_t>(data, kPayloadChecksumOffset)) {
     return withStatus(FrameParseResult::Status::invalid);
   }
   const FramedRecord record{readLittleEndian<std::uint64_t>(numbered_payload, 0), kJournalVersion,
                             numbered_payload.substr(kSequenceNumberBytes)};
-  return {FrameParseResult::Status::valid, record, kFrameHeadBytes + length};
+  return {FrameParseResult::Status::valid, record, kFrameHeaderBytes + length};
 }
 
 }  // namespace
@@ -85,7 +85,7 @@
 
 FrameParseResult parseFrame(std::string_view data, std::size_t offset) {
   const std::string_view rest = data.substr(offset);
-  if (rest.size() < kHeadBytesVersion1 || rest.substr(0, kFrameMark.size()) != kFrameMark) {
+  if (rest.size() < kHeaderBytesVersion1 || rest.substr(0, kFrameMark.size()) != kFrameMark) {
     return withStatus(FrameParseResult::Status::invalid);
   }
   switch (rest[kVersionOffset]) {
--- a/src/storage/record_frame.h
+++ b/src/storage/record_frame.h
@@ -1,5 +1,5 @@
-// The frame of a journal record: mark, length, checksums and sequence number around its payload.
-// Format: docs/journal.md.
+// The frame of a journal record: mark, version, length, checksums and sequence number in front of the
+// payload. Format: docs/journal.md.
 #pragma once
 
 #include <cstddef>
@@ -9,37 +9,38 @@
 
 namespace delivery {
 
-// The first bytes of each frame, of any version. They let a reader find the next record after damage.
+// The magic bytes at the start of each frame of any version. They let a reader find the next record after
+// damage.
 constexpr std::string_view kFrameMark = "\xA7GJ";
 
-// The head of a frame of version 2: fewer bytes than these at the end of a file are a torn write.
-constexpr std::size_t kFrameHeadBytes = 16;
+// The size of a frame header of version 2. Fewer bytes than that at the end of a file are a torn write.
+constexpr std::size_t kFrameHeaderBytes = 16;
 constexpr std::size_t kSequenceNumberBytes = 8;
 
-// What a frame of version 2 adds to its payload.
-constexpr std::size_t kFrameOverheadBytes = kFrameHeadBytes + kSequenceNumberBytes;
+// The number of bytes that a frame of version 2 adds to its payload.
+constexpr std::size_t kFrameOverheadBytes = kFrameHeaderBytes + kSequenceNumberBytes;
 
 struct FramedRecord {
-  std::uint64_t sequence_number = 0;  // 0 in version 1, which has none
+  std::uint64_t sequence_number = 0;  // 0 in version 1, which has no sequence numbers
   std::int64_t version = 0;
-  std::string_view payload;  // from the type on, never empty; points into the parsed data
+  std::string_view payload;  // begins with the type, is never empty, and points into the parsed data
 };
 
 struct FrameParseResult {
   enum class Status {
     valid,
-    invalid,    // no mark, a checksum that is wrong, or a length that can't be
-    truncated,  // the head is sound, but the data ends before the payload does
+    invalid,    // the mark is missing, a checksum is wrong, or the length is impossible
+    truncated,  // the frame header is valid, but the data ends before the payload does
   };
   Status status = Status::invalid;
-  FramedRecord record;         // if valid
-  std::size_t frame_size = 0;  // if valid; in bytes
+  FramedRecord record;         // set only if the frame is valid
+  std::size_t frame_size = 0;  // in bytes; set only if the frame is valid
 };
 
-// One frame of version 2.
+// Returns a frame of version 2 with this payload.
 std::string frameRecord(std::uint64_t sequence_number, const std::string& payload);
 
-// Parses the frame that begins at `offset`, which has to be within `data`. Reads versions 1 and 2.
+// Parses the frame that begins at `offset`, which has to be within `data`. Supports versions 1 and 2.
 FrameParseResult parseFrame(std::string_view data, std::size_t offset);
 
 }  // namespace delivery
--- a/src/storage/record_scanner.h
+++ b/src/storage/record_scanner.h
@@ -1,4 +1,4 @@
-// Finds the sound records of a journal file, wherever they stand among damaged bytes.
+// Finds the valid records of a journal file, also between and after damaged bytes.
 #pragma once
 
 #include <cstddef>
@@ -11,19 +11,19 @@
 
 struct ByteRange {
   std::size_t begin = 0;
-  std::size_t end = 0;  // the first byte behind the range
+  std::size_t end = 0;  // the offset after the last byte of the range
 };
 
 struct ScanResult {
-  std::vector<FramedRecord> records;  // by sequence number, each once
+  std::vector<FramedRecord> records;  // in the order of their sequence numbers, without duplicates
   std::vector<ByteRange> damaged_ranges;
-  std::size_t duplicate_records = 0;  // passed over: their sequence number was there before
-  std::size_t sound_end = 0;          // the end of the last sound record in the file
-  bool torn_write = false;            // the bytes from sound_end on are a write that was cut short
-  bool damaged_tail = false;          // the bytes from sound_end on are damaged
+  std::size_t duplicate_records = 0;  // ignored, as an earlier record has the same sequence number
+  std::size_t valid_end = 0;          // the offset after the last valid record in the file
+  bool torn_write = false;            // the bytes from valid_end on are an incomplete write
+  bool damaged_tail = false;          // the bytes from valid_end on are damaged
 };
 
-// The records point into `data`, which has to outlive them.
+// The returned records point into `data`, which has to outlive them.
 ScanResult scanRecords(const std::string& data);
 
 }  // namespace delivery
--- a/src/storage/recovery.cpp
+++ b/src/storage/recovery.cpp
@@ -6,97 +6,97 @@
 namespace delivery {
 namespace {
 
-class JournalReader {
+class JournalReplayer {
  public:
-  JournalReader(const std::string& data, const ClockReadings& now) : now_(now) {
-    journal_.scan = scanRecords(data);
+  JournalReplayer(const std::string& data, const ClockReadings& now) : now_(now) {
+    result_.scan = scanRecords(data);
   }
 
-  ReplayResult read() {
-    findNewestHeader();
+  ReplayResult replay() {
+    findNewestHeaderAndTime();
     chooseClock();
     detectPowerCut();
-    for (const FramedRecord& record : journal_.scan.records) {
-      noteGapBefore(record);
+    for (const FramedRecord& record : result_.scan.records) {
+      detectGapBefore(record);
       apply(record);
     }
-    journal_.next_sequence_number = last_sequence_number_ + 1;
-    if (journal_.scan.damaged_tail || journal_.power_cut) {
-      journal_.state.assumeUnknownAttempts();
+    result_.next_sequence_number = last_sequence_number_ + 1;
+    if (result_.scan.damaged_tail || result_.power_cut) {
+      result_.state.assumeUnknownAttempts();
     }
-    if (!journal_.clock_continues) {
-      journal_.state.limitDeadlines(now_.monotonic);
+    if (!result_.clock_continues) {
+      result_.state.limitDeadlines(now_.monotonic);
     }
-    return std::move(journal_);
+    return std::move(result_);
   }
 
  private:
-  void findNewestHeader() {
-    for (const FramedRecord& record : journal_.scan.records) {
+  void findNewestHeaderAndTime() {
+    for (const FramedRecord& record : result_.scan.records) {
       if (record.version == 1) {
         continue;
       }
       try {
         readHeaderOrAttemptTime(record);
       } catch (const RecordDecodeError&) {
-        continue;  // apply() counts it
+        continue;  // apply() counts this record
       }
     }
-    newest_time_on_disk_ = std::max(newest_time_on_disk_, journal_.header.written_at);
+    newest_stored_time_ = std::max(newest_stored_time_, result_.header.written_at);
   }
 
   void readHeaderOrAttemptTime(const FramedRecord& record) {
     const RecordType type = recordTypeOf(record.payload);
     if (type == RecordType::file_header) {
-      journal_.header = decodeFileHeader(record.payload);
+      result_.header = decodeFileHeader(record.payload);
     }
     if (type == RecordType::attempt) {
       const Record attempt = decodeRecord(record.payload, record.version, PersistentClock());
-      newest_time_on_disk_ = std::max(newest_time_on_disk_, std::get<AttemptRecord>(attempt).sent_at);
+      newest_stored_time_ = std::max(newest_stored_time_, std::get<AttemptRecord>(attempt).sent_at);
     }
   }
 
-  // The clock goes on within a boot. Where it stands before the newest time in the file it is another one,
-  // even if the boot seems to be the same: a boot id may be unknown.
+  // The monotonic clock continues until the machine reboots. If it is before the newest time in the file, the
+  // machine has rebooted, even if the boot ids are equal: they may both be unknown.
   void chooseClock() {
-    const FileHeader& header = journal_.header;
-    const PersistentClock clock_of_file(header.clock_shift);
-    journal_.clock_continues = header.version > 0 && header.boot == now_.boot &&
-                               clock_of_file.toStored(now_.monotonic) >= newest_time_on_disk_;
-    journal_.clock = journal_.clock_continues ? clock_of_file : PersistentClock::startingNow(now_);
+    const FileHeader& header = result_.header;
+    const PersistentClock file_clock(header.clock_shift);
+    result_.clock_continues = header.version > 0 && header.boot_id == now_.boot &&
+                              file_clock.toStored(now_.monotonic) >= newest_stored_time_;
+    result_.clock = result_.clock_continues ? file_clock : PersistentClock::startingNow(now_);
   }
 
   void detectPowerCut() {
-    const std::vector<FramedRecord>& records = journal_.scan.records;
-    if (records.empty() || records.back().version == 1) {  // version 1 does not know its boot
+    const std::vector<FramedRecord>& records = result_.scan.records;
+    if (records.empty() || records.back().version == 1) {  // version 1 stores no boot id
       return;
     }
-    journal_.power_cut = journal_.header.boot != now_.boot && !journal_.header.durable;
+    result_.power_cut = result_.header.boot_id != now_.boot && !result_.header.durable;
   }
 
-  // A missing record may have been an attempt of any message that was open then.
-  void noteGapBefore(const FramedRecord& record) {
-    const bool is_first = &record == &journal_.scan.records.front();
+  // A missing record may have been an attempt of any message that was open at that point.
+  void detectGapBefore(const FramedRecord& record) {
+    const bool is_first = &record == &result_.scan.records.front();
     if (!is_first && record.sequence_number != last_sequence_number_ + 1) {
-      ++journal_.gaps;
-      journal_.state.assumeUnknownAttempts();
+      ++result_.gaps;
+      result_.state.assumeUnknownAttempts();
     }
     last_sequence_number_ = record.sequence_number;
   }
 
   void apply(const FramedRecord& record) try {
-    Record decoded = decodeRecord(record.payload, record.version, journal_.clock);
-    if (journal_.state.apply(std::move(decoded)) == JournalState::ApplyResult::contradictory) {
-      ++journal_.contradictory_records;
+    Record decoded = decodeRecord(record.payload, record.version, result_.clock);
+    if (result_.state.apply(std::move(decoded)) == JournalState::ApplyResult::contradictory) {
+      ++result_.contradictory_records;
     }
   } catch (const RecordDecodeError&) {
-    ++journal_.unreadable_records;
-    journal_.state.assumeUnknownAttempts();
+    ++result_.unreadable_records;
+    result_.state.assumeUnknownAttempts();
   }
 
   const ClockReadings& now_;
-  ReplayResult journal_;
-  Micros newest_time_on_disk_ = 0;  // in stored form, see PersistentClock
+  ReplayResult result_;
+  Micros newest_stored_time_ = 0;  // see PersistentClock
   std::uint64_t last_sequence_number_ = 0;
 };
 
@@ -107,7 +107,7 @@
 }
 
 ReplayResult replayJournal(const std::string& data, const ClockReadings& now) {
-  return JournalReader(data, now).read();
+  return JournalReplayer(data, now).replay();
 }
 
 }  // namespace delivery
--- a/src/storage/submitted_message.h
+++ b/src/storage/submitted_message.h
@@ -1,4 +1,4 @@
-// What is stored of a message: the message itself, its attempts and its completion notice.
+// What the journal stores of a message: the message as submitted, its attempts and its completion notice.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace delivery {
 
-// A message as its client submitted it and as it is forwarded to an endpoint.
+// A message as its client submits it, before and after it is accepted, and as it is forwarded to an endpoint.
 struct SubmittedMessage {
   std::string id;
   std::string message_class;
@@ -19,21 +19,21 @@
   std::string body;
   std::int64_t destination = 0;
   Deadline deadline;        // on the monotonic clock
-  Micros time_to_live = 0;  // from submission to the deadline; 0: not known
-  bool is_retry = false;
+  Micros time_to_live = 0;  // from submission to the deadline; 0 if it is unknown
+  bool is_retry = false;    // the client has submitted this message before
 };
 
-// One call of an endpoint with a message, written before the call is made.
+// One attempt to deliver a message, recorded before the call to the endpoint is made.
 struct JournaledAttempt {
-  std::string endpoint;  // empty: not known, since the record of the attempt may have been lost
-  Micros sent_at = 0;    // on the monotonic clock
-  bool never_ran = false;
+  std::string endpoint;    // empty if it is unknown, as the record of the attempt may have been lost
+  Micros sent_at = 0;      // on the monotonic clock
+  bool never_ran = false;  // the endpoint certainly did not process the message
 };
 
-// How the client learns about a message that was accepted and could not be delivered.
+// Tells the client that an accepted message ended without delivery.
 struct CompletionNotice {
-  bool returned = false;  // false: abandoned
-  std::int64_t retry_after_ms = 0;
+  bool returned = false;            // true: returned to the client; false: abandoned
+  std::int64_t retry_after_ms = 0;  // when the client may submit it again, in milliseconds; 0 if not stated
 };
 
 }  // namespace delivery
--- a/tests/storage/record_codec_test.cpp
+++ b/tests/storage/record_codec_test.cpp
@@ -55,7 +55,7 @@
   EXPECT_TRUE(header.durable);
   EXPECT_EQ(17, header.clock_shift);
   EXPECT_EQ(18, header.written_at);
-  EXPECT_EQ("boot", header.boot);
+  EXPECT_EQ("boot", header.boot_id);
   const HealthRecord health = roundTrip(HealthStateRecord{{"e1", 7, true, 99, 123}}).health;
   EXPECT_EQ("e1", health.endpoint);
   EXPECT_EQ(7, health.destination);
--- a/tests/storage/record_scanner_test.cpp
+++ b/tests/storage/record_scanner_test.cpp
@@ -22,13 +22,13 @@
   EXPECT_EQ("second", scan.records[1].payload);
   EXPECT_EQ(2u, scan.records[1].sequence_number);
   EXPECT_TRUE(scan.damaged_ranges.empty());
-  EXPECT_EQ(data.size(), scan.sound_end);
+  EXPECT_EQ(data.size(), scan.valid_end);
   EXPECT_FALSE(scan.torn_write || scan.damaged_tail);
 }
 
 TEST(RecordScanner, NamesTheRangeOfADamagedRecord) {
   std::string data = kFirst + kSecond + kThird;
-  data[kFirst.size() + kFrameHeadBytes] ^= 1;
+  data[kFirst.size() + kFrameHeaderBytes] ^= 1;
   const ScanResult scan = scanRecords(data);
   ASSERT_EQ(2u, scan.records.size());
   EXPECT_EQ("third", scan.records[1].payload);
@@ -44,7 +44,7 @@
   EXPECT_TRUE(torn_scan.torn_write);
   EXPECT_FALSE(torn_scan.damaged_tail);
   EXPECT_TRUE(torn_scan.damaged_ranges.empty());
-  EXPECT_EQ(kFirst.size(), torn_scan.sound_end);
+  EXPECT_EQ(kFirst.size(), torn_scan.valid_end);
 
   std::string damaged = kFirst + kSecond;
   damaged.back() ^= 1;
--- a/tests/support/journal_dump.h
+++ b/tests/support/journal_dump.h
@@ -104,7 +104,7 @@
       << "repeated records: " << recovered.scan.duplicate_records << '\n'
       << "torn tail: " << yesNo(recovered.scan.torn_write) << '\n'
       << "damaged tail: " << yesNo(recovered.scan.damaged_tail) << '\n'
-      << "end of the last sound record: " << recovered.scan.sound_end << '\n'
+      << "end of the last sound record: " << recovered.scan.valid_end << '\n'
       << "counts as damaged: " << yesNo(recovered.damaged()) << '\n'
       << "power cut: " << yesNo(recovered.power_cut) << '\n'
       << "monotonic clock goes on: " << yesNo(recovered.clock_continues) << '\n'
@@ -112,7 +112,7 @@
       << "next record number: " << recovered.next_sequence_number << '\n'
       << "file head: version " << recovered.header.version << ", durable: " << yesNo(recovered.header.durable)
       << ", clock shift us " << recovered.header.clock_shift << ", written at disk us "
-      << recovered.header.written_at << ", boot " << quoted(recovered.header.boot) << '\n';
+      << recovered.header.written_at << ", boot " << quoted(recovered.header.boot_id) << '\n';
   return out.str();
 }
 
