--- a/tests/storage/file_system_test.cpp
+++ b/tests/storage/file_system_test.cpp
@@ -1,4 +1,4 @@
-// Descriptors that close themselves, and reading and writing in several calls.
+// FileDescriptor, which closes its descriptor, and readAll() and writeAll(), which may take several calls.
 #include "storage/file_system.h"
 
 #include <fcntl.h>
@@ -14,8 +14,8 @@
 namespace delivery {
 namespace {
 
-// Notes which descriptors were closed, and sets errno as a failing close() does.
-class ClosingFiles : public FileSystem {
+// Records the descriptors that are closed, and sets errno like a close() that fails.
+class FailingCloseFileSystem : public FileSystem {
  public:
   void close(int fd) override {
     closed.push_back(fd);
@@ -24,8 +24,8 @@
   std::vector<int> closed;
 };
 
-TEST(FileDescriptor, ClosesOnceAndKeepsErrno) {
-  ClosingFiles files;
+TEST(FileDescriptor, ClosesOnceAndPreservesErrno) {
+  FailingCloseFileSystem files;
   {
     FileDescriptor first(files, 5);
     FileDescriptor second(std::move(first));
@@ -41,7 +41,7 @@
   EXPECT_FALSE(none.isOpen());
 }
 
-TEST(FileSystem, WritesAndReadsInSeveralCalls) {
+TEST(FileSystem, WritesAndReadsAllDataInSeveralCalls) {
   SimulatedDisk disk;
   disk.short_writes = true;
   const std::string data(200'000, 'x');
@@ -54,12 +54,12 @@
   EXPECT_EQ(0, content.error);
 }
 
-TEST(FileSystem, AReadThatFailsNamesItsErrorAndKeepsWhatWasRead) {
+TEST(FileSystem, AFailedReadReportsItsErrorAndKeepsTheDataReadBefore) {
   SimulatedDisk disk;
   disk.setContent("file", std::string(200'000, 'x'));
   const FileDescriptor file(disk, disk.open("file", 0));
   disk.fail_errno = EIO;
-  disk.fail_from = 3;  // the second read
+  disk.fail_from = 3;  // call 1 opens the file, so call 3 is the second read
   disk.fail_count = 1'000;
   const FileContent content = readAll(disk, file);
   EXPECT_EQ(EIO, content.error);
--- a/tests/storage/journal_compatibility_test.cpp
+++ b/tests/storage/journal_compatibility_test.cpp
@@ -1,5 +1,6 @@
-// Journals that an earlier version wrote are read as that version read them: the files and what they told are
-// in tests/data/journal, and how they came about in tests/data/README.md. These files are never made anew.
+// Compatibility with journals that an earlier version of the program wrote: they have to be recovered as that
+// version recovered them. The journal files and their expected content are in tests/data/journal, and
+// tests/data/README.md says how they were made. These files must not be generated again.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,7 +23,7 @@
 using loopback::TempFolder;
 namespace fs = std::filesystem;
 
-const std::string kFolder = std::string(TEST_DATA_DIR) + "/journal";
+const std::string kDataFolder = std::string(TEST_DATA_DIR) + "/journal";
 
 std::string readFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
@@ -30,31 +31,32 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// A recorded reading: FILE.CASE.expected, of FILE.journal, at the clocks that its first three lines state.
-struct ExpectedReading {
+// The content of FILE.CASE.expected: what recovery of FILE.journal has to yield at the clock readings that
+// the first three lines state.
+struct ExpectedRecovery {
   std::string name;
   std::string journal_path;
   ClockReadings read_at;
-  std::string file_text;  // of the file as such
-  std::string open_text;  // of what it leaves open
+  std::string file_text;  // what journal_dump::fileText() has to return
+  std::string open_text;  // what journal_dump::openText() has to return
 };
 
-// The rest of the next line, which has to begin with `prefix`.
-std::string readPrefixedLine(std::istream& in, const std::string& prefix) {
+// Reads a line, which has to begin with `prefix`, and returns the rest of it.
+std::string readLineAfterPrefix(std::istream& in, const std::string& prefix) {
   std::string line;
   std::getline(in, line);
   EXPECT_EQ(0u, line.find(prefix)) << line;
   return line.substr(std::min(prefix.size(), line.size()));
 }
 
-ExpectedReading loadExpectedReading(const fs::path& path) {
-  ExpectedReading expected;
+ExpectedRecovery loadExpectedRecovery(const fs::path& path) {
+  ExpectedRecovery expected;
   expected.name = path.filename().string();
-  expected.journal_path = kFolder + "/" + expected.name.substr(0, expected.name.find('.')) + ".journal";
+  expected.journal_path = kDataFolder + "/" + expected.name.substr(0, expected.name.find('.')) + ".journal";
   std::istringstream in(readFile(path.string()));
-  expected.read_at.monotonic = std::stoll(readPrefixedLine(in, "read at monotonic us: "));
-  expected.read_at.unix = std::stoll(readPrefixedLine(in, "read at Unix us: "));
-  expected.read_at.boot = readPrefixedLine(in, "read in boot: ");
+  expected.read_at.monotonic = std::stoll(readLineAfterPrefix(in, "read at monotonic us: "));
+  expected.read_at.unix = std::stoll(readLineAfterPrefix(in, "read at Unix us: "));
+  expected.read_at.boot = readLineAfterPrefix(in, "read in boot: ");
   std::string* section = &expected.file_text;
   for (std::string line; std::getline(in, line);) {
     if (line.rfind("accepted messages still open: ", 0) == 0) {
@@ -68,7 +70,7 @@
 
 std::vector<std::string> fileNames(const char* extension) {
   std::vector<std::string> names;
-  for (const auto& file : fs::directory_iterator(kFolder)) {
+  for (const auto& file : fs::directory_iterator(kDataFolder)) {
     if (file.path().extension() == extension) {
       names.push_back(file.path().filename().string());
     }
@@ -77,11 +79,11 @@
   return names;
 }
 
-class RecordedJournal : public testing::TestWithParam<std::string> {};
-class RewrittenJournal : public testing::TestWithParam<std::string> {};
+class JournalCompatibility : public testing::TestWithParam<std::string> {};
+class JournalRewriteCompatibility : public testing::TestWithParam<std::string> {};
 
-TEST_P(RecordedJournal, IsReadAsItWas) {
-  const ExpectedReading expected = loadExpectedReading(kFolder + "/" + GetParam());
+TEST_P(JournalCompatibility, ARecordedFileIsReplayedAsBefore) {
+  const ExpectedRecovery expected = loadExpectedRecovery(kDataFolder + "/" + GetParam());
   const std::string data = readFile(expected.journal_path);
   const ReplayResult journal = replayJournal(data, expected.read_at);
   EXPECT_EQ(expected.file_text, journal_dump::fileText(journal));
@@ -89,8 +91,8 @@
 }
 
 // Opened for writing, which may compact it; what that left is opened once more.
-TEST_P(RecordedJournal, IsRecoveredAsItWas) {
-  const ExpectedReading expected = loadExpectedReading(kFolder + "/" + GetParam());
+TEST_P(JournalCompatibility, ARecordedFileIsRecoveredAsBefore) {
+  const ExpectedRecovery expected = loadExpectedRecovery(kDataFolder + "/" + GetParam());
   const bool counts_as_damaged = expected.file_text.find("\ncounts as damaged: yes\n") != std::string::npos;
   const TempFolder folder;
   fs::copy_file(expected.journal_path, folder.path() + "/journal");
@@ -104,14 +106,15 @@
   }
 }
 
-// What the opening leaves, byte for byte, so that a sender can go back to the version before.
-TEST_P(RewrittenJournal, IsTheSame) {
+// The file after it was opened has to be the same byte for byte, so that operators can go back to the
+// previous version of the program.
+TEST_P(JournalRewriteCompatibility, OpeningWritesTheSameBytesAsBefore) {
   const std::string expected_name = fs::path(GetParam()).replace_extension(".expected").string();
-  const ExpectedReading expected = loadExpectedReading(kFolder + "/" + expected_name);
+  const ExpectedRecovery expected = loadExpectedRecovery(kDataFolder + "/" + expected_name);
   const TempFolder folder;
   fs::copy_file(expected.journal_path, folder.path() + "/journal");
   { const Journal journal(folder.path(), {3'000'000}, expected.read_at); }
-  EXPECT_TRUE(readFile(kFolder + "/" + GetParam()) == readFile(folder.path() + "/journal"));
+  EXPECT_TRUE(readFile(kDataFolder + "/" + GetParam()) == readFile(folder.path() + "/journal"));
 }
 
 std::string testName(const testing::TestParamInfo<std::string>& file) {
@@ -121,11 +124,12 @@
   }
   return name;
 }
-INSTANTIATE_TEST_SUITE_P(All, RecordedJournal, testing::ValuesIn(fileNames(".expected")), testName);
-INSTANTIATE_TEST_SUITE_P(All, RewrittenJournal, testing::ValuesIn(fileNames(".rewritten")), testName);
+INSTANTIATE_TEST_SUITE_P(All, JournalCompatibility, testing::ValuesIn(fileNames(".expected")), testName);
+INSTANTIATE_TEST_SUITE_P(All, JournalRewriteCompatibility, testing::ValuesIn(fileNames(".rewritten")),
+                         testName);
 
-// So that a file that is lost is missed.
-TEST(RecordedJournals, AreAllThere) {
+// Each recorded file is a test case, so a missing file would otherwise go unnoticed.
+TEST(JournalCompatibilityData, ContainsAllListedFiles) {
   std::vector<std::string> found;
   for (const char* extension : {".expected", ".journal", ".rewritten"}) {
     for (std::string& name : fileNames(extension)) {
@@ -133,7 +137,7 @@
     }
   }
   std::vector<std::string> listed;
-  std::istringstream lines(readFile(kFolder + "/FILES"));
+  std::istringstream lines(readFile(kDataFolder + "/FILES"));
   for (std::string line; std::getline(lines, line);) {
     listed.push_back(line);
   }
--- a/tests/storage/journal_fixture.h
+++ b/tests/storage/journal_fixture.h
@@ -1,4 +1,5 @@
-// What the tests of the journal share: clocks, messages, a file with every record type, and reopening a file.
+// Shared by the tests of the journal: clock readings, messages, a file with every type of record, and helpers
+// that reopen a file.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -35,8 +36,9 @@
   return message;
 }
 
-// A journal with every type of record. Of its messages "run" was sent and may have run, "never" was sent and
-// never ran, "new" was not sent, "pending" has a pending notice, and "completed" is completed.
+// Returns the content of a journal file with every type of record. Its message "run" was sent and may have
+// run, "never" was sent and never ran, "new" was not sent, "pending" has a pending notice, and "completed" is
+// completed.
 inline std::string journalWithEveryRecordType(bool durable = false, const ClockReadings& now = kNow) {
   SimulatedDisk disk;
   {
@@ -57,9 +59,9 @@
   return disk.content(kJournalPath);
 }
 
-inline std::size_t countAttemptsThatMayHaveRun(const JournaledMessage& entry) {
+inline std::size_t countAttemptsThatMayHaveRun(const JournaledMessage& journaled) {
   std::size_t count = 0;
-  for (const JournaledAttempt& attempt : entry.attempts) {
+  for (const JournaledAttempt& attempt : journaled.attempts) {
     count += attempt.never_ran ? 0 : 1;
   }
   return count;
@@ -72,15 +74,18 @@
   return out;
 }
 
+// What a journal recovered when it was opened again.
 struct ReopenedJournal {
-  std::map<std::string, JournaledMessage> entries;  // by message id
+  std::map<std::string, JournaledMessage> messages;  // by message id
   bool damaged = false;
   RecoveryReport report;
 
-  // "run", which may have run, is not there as if it had not.
+  // Whether a sender can go on without sending "run" a second time, which may have run: the message is
+  // absent, has a pending notice, or has an attempt that may have run.
   bool safeToResume() const {
-    const auto run = entries.find("run");
-    return run == entries.end() || run->second.notice_pending || countAttemptsThatMayHaveRun(run->second) > 0;
+    const auto run = messages.find("run");
+    return run == messages.end() || run->second.notice_pending ||
+           countAttemptsThatMayHaveRun(run->second) > 0;
   }
 };
 
@@ -89,8 +94,8 @@
   ReopenedJournal reopened;
   reopened.damaged = journal.recovered().damaged;
   reopened.report = journal.recovered().report;
-  for (const JournaledMessage& entry : journal.recovered().messages) {
-    reopened.entries[entry.message.id] = entry;
+  for (const JournaledMessage& journaled : journal.recovered().messages) {
+    reopened.messages[journaled.message.id] = journaled;
   }
   return reopened;
 }
--- a/tests/storage/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -1,5 +1,5 @@
-// The journal on real files: what it returns after a restart, torn writes, damaged records, a full disk
-// budget, and calls that fail.
+// Journal on real files: recovery after a restart, torn writes, damaged records, a full disk budget, and file
+// operations that fail.
 #include "storage/journal.h"
 
 #include <gtest/gtest.h>
@@ -41,7 +41,7 @@
   std::ofstream(path, std::ios::binary | std::ios::trunc) << data;
 }
 
-TEST(Journal, ReturnsOpenMessagesInOrderOfAcceptance) {
+TEST(Journal, RecoversOpenMessagesInOrderOfAcceptance) {
   const TempFolder folder;
   {
     Journal journal(folder.path(), {kDiskBytes});
@@ -75,7 +75,7 @@
   EXPECT_FALSE(second.attempts[1].never_ran);
   EXPECT_EQ("e2", second.attempts[1].endpoint);
   EXPECT_EQ(66, second.attempts[1].sent_at);
-  ASSERT_EQ(1u, recovered.health_records.size());  // the latest of a destination
+  ASSERT_EQ(1u, recovered.health_records.size());  // only the latest of each destination
   EXPECT_TRUE(recovered.health_records[0].ejected);
   EXPECT_EQ(99, recovered.health_records[0].warming_since);
   EXPECT_EQ(123, recovered.health_records[0].retry_after_until);
@@ -84,7 +84,7 @@
   EXPECT_EQ(12u, recovered.report.records) << recovered.report;
 }
 
-TEST(Journal, TruncatesATornWriteAtEveryLengthAndKeepsTheRest) {
+TEST(Journal, TruncatesATornWriteOfAnyLengthAndKeepsEarlierRecords) {
   const TempFolder folder;
   const std::string path = folder.path() + "/journal";
   {
@@ -106,16 +106,17 @@
       ASSERT_EQ(1u, journal.recovered().messages.size()) << size;
       EXPECT_EQ(size > first.size(), journal.recovered().report.torn_write);
       EXPECT_FALSE(journal.recovered().damaged);
-      journal.recordAccepted(binaryMessage("c"));  // what follows the cut is sound
+      journal.recordAccepted(binaryMessage("c"));  // is readable after the truncated write
       ASSERT_TRUE(journal.flush());
     }
-    const Journal again(folder.path(), {kDiskBytes});
-    ASSERT_EQ(2u, again.recovered().messages.size()) << size;
+    const Journal reopened(folder.path(), {kDiskBytes});
+    ASSERT_EQ(2u, reopened.recovered().messages.size()) << size;
   }
 }
 
-// A damaged record may have been an attempt of a message that was open: it must not be sent as if untried.
-TEST(Journal, SkipsADamagedRecordAndAssumesAnAttemptOfOpenMessages) {
+// A message whose record of an attempt is damaged must not be sent as if it was never sent before: the
+// attempt may have run. The damaged record may belong to any message that was open at that point.
+TEST(Journal, SkipsADamagedRecordAndAssumesAnAttemptOfEachOpenMessage) {
   const TempFolder folder;
   const std::string path = folder.path() + "/journal";
   std::size_t attempt_offset = 0;
@@ -129,9 +130,9 @@
     journal.recordAccepted(binaryMessage("b"));
     journal.flush();
   }
-  const std::string whole = readFile(path);
+  const std::string intact = readFile(path);
   for (std::size_t offset = attempt_offset; offset < attempt_offset + 20; ++offset) {
-    std::string data = whole;
+    std::string data = intact;
     data[offset] = static_cast<char>(data[offset] ^ 0x55);
     writeFile(path, data);
     const Journal journal(folder.path(), {kDiskBytes});
@@ -153,9 +154,9 @@
   return sum;
 }
 
-// A budget that is exceeded is a crash: what would not fit is rejected, and completed messages free their
-// room.
-TEST(Journal, StaysWithinItsDiskBudgetAlsoDuringCompaction) {
+// A sender that exceeds its disk budget crashes. Therefore messages that do not fit are rejected, and
+// completed messages free their space.
+TEST(Journal, StaysWithinItsDiskBudgetDuringCompaction) {
   const TempFolder folder;
   constexpr std::uint64_t kBudgetBytes = 1'000'000;
   Journal journal(folder.path(), {kBudgetBytes});
@@ -182,15 +183,15 @@
   }
   EXPECT_GT(accepted, 1000);
   EXPECT_GT(rejected, 1000);
-  const Journal again(folder.path(), {kBudgetBytes});
-  EXPECT_EQ(open.size(), again.recovered().messages.size());
+  const Journal reopened(folder.path(), {kBudgetBytes});
+  EXPECT_EQ(open.size(), reopened.recovered().messages.size());
 }
 
-TEST(Journal, ThrowsWhatFailedWhereItCannotBeOpened) {
+TEST(Journal, ThrowsTheFailedOperationIfTheFileCannotBeOpened) {
   EXPECT_THROW(Journal("/nonexistent/folder", {kDiskBytes}), std::runtime_error);
   try {
     const Journal journal("/nonexistent/folder", {kDiskBytes});
-    FAIL() << "it was opened";
+    FAIL() << "the journal was opened in a folder that does not exist";
   } catch (const JournalError& error) {
     EXPECT_EQ(FileOperation::open, error.operation());
     EXPECT_EQ("/nonexistent/folder/journal", error.path());
@@ -199,7 +200,7 @@
   }
 }
 
-TEST(Journal, NamesTheCallThatMadeAFlushFail) {
+TEST(Journal, ReportsTheOperationThatMadeAFlushFail) {
   SimulatedDisk disk;
   Journal journal(kFolder, {kDiskBytes}, kNow, disk);
   journal.recordAccepted(testMessage("a"));
@@ -213,7 +214,7 @@
   disk.fail_errno = 0;
   EXPECT_TRUE(journal.flush());
   EXPECT_FALSE(journal.flushError().has_value());
-  EXPECT_EQ(1u, reopen(disk).entries.count("a"));
+  EXPECT_EQ(1u, reopen(disk).messages.count("a"));
 }
 
 }  // namespace
--- a/tests/storage/record_codec_test.cpp
+++ b/tests/storage/record_codec_test.cpp
@@ -1,4 +1,4 @@
-// The payloads of records: their bytes, and what decoding says of those that it does not understand.
+// Encoding and decoding of record payloads: their bytes, and the errors for payloads that can't be decoded.
 #include "storage/record_codec.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   return std::get<RecordStruct>(decodeRecord(payload, kJournalVersion, kClock));
 }
 
-TEST(RecordCodec, PayloadsHaveTheBytesOfTheFileFormat) {
+TEST(RecordCodec, EncodesPayloadsAsTheFileFormatStates) {
   EXPECT_EQ("O\x02\0\0\0id"s, encodeRecord(CompletedRecord{"id"}, kClock));
   EXPECT_EQ("N\x02\0\0\0id\x05"s, encodeRecord(AttemptNeverRanRecord{"id", 5}, kClock));
   EXPECT_EQ("T\x02\0\0\0id\x01\0\0\0e\xEB\x03\0\0\0\0\0\0"s,
@@ -31,7 +31,7 @@
   EXPECT_EQ("L\x02\0\0\0{}"s, encodeRecord(EndpointListRecord{"{}"}, kClock));
 }
 
-TEST(RecordCodec, AnAcceptedMessageIsDecodedAsItWasEncoded) {
+TEST(RecordCodec, DecodesAnEncodedAcceptedMessage) {
   SubmittedMessage message = testMessage("id");
   message.order_key = "order";
   message.is_retry = true;
@@ -49,7 +49,7 @@
   EXPECT_EQ(encodeRecord(AcceptedRecord{message}, kClock).size(), encodedSize(message));
 }
 
-TEST(RecordCodec, FileHeaderAndHealthAreDecodedAsTheyWereEncoded) {
+TEST(RecordCodec, DecodesAnEncodedFileHeaderAndHealthRecord) {
   const FileHeader header = roundTrip(FileHeader{kJournalVersion, true, 17, 18, "boot"});
   EXPECT_EQ(kJournalVersion, header.version);
   EXPECT_TRUE(header.durable);
@@ -70,11 +70,11 @@
   } catch (const RecordDecodeError& error) {
     return error.reason();
   }
-  ADD_FAILURE() << "it was decoded";
+  ADD_FAILURE() << "the payload was decoded";
   return {};
 }
 
-TEST(RecordCodec, EveryPayloadThatIsCutInItsFieldsIsTooShort) {
+TEST(RecordCodec, ReportsATruncatedPayloadAsTooShort) {
   for (const Record& record :
        {Record(FileHeader{kJournalVersion, true, 17, 18, "boot"}), Record(AttemptRecord{"id", "e", 3}),
         Record(AttemptNeverRanRecord{"id", 5}), Record(NoticePendingRecord{"id", {true, 250}}),
@@ -87,7 +87,7 @@
   }
 }
 
-TEST(RecordCodec, UnknownTypesAndNewerVersionsAreNamed) {
+TEST(RecordCodec, ReportsUnknownTypesAndNewerVersions) {
   EXPECT_EQ(RecordDecodeError::Reason::unknown_type, reasonOf("Z a type of a later version"));
   const std::string newer = encodeRecord(FileHeader{kJournalVersion + 1, true, 17, 18, "boot"}, kClock);
   EXPECT_EQ(RecordDecodeError::Reason::newer_version, reasonOf(newer));
--- a/tests/storage/record_scanner_test.cpp
+++ b/tests/storage/record_scanner_test.cpp
@@ -1,4 +1,4 @@
-// Finding records among damage: ranges, gaps, torn writes and duplicates.
+// The scan of a journal file for its valid records: damaged ranges, torn writes and duplicates.
 #include "storage/record_scanner.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 const std::string kSecond = frameRecord(2, "second");
 const std::string kThird = frameRecord(3, "third");
 
-TEST(RecordScanner, FindsTheRecordsOfASoundFile) {
+TEST(RecordScanner, FindsAllRecordsOfAnIntactFile) {
   const std::string data = kFirst + kSecond;
   const ScanResult scan = scanRecords(data);
   ASSERT_EQ(2u, scan.records.size());
@@ -26,7 +26,7 @@
   EXPECT_FALSE(scan.torn_write || scan.damaged_tail);
 }
 
-TEST(RecordScanner, NamesTheRangeOfADamagedRecord) {
+TEST(RecordScanner, ReportsTheByteRangeOfADamagedRecord) {
   std::string data = kFirst + kSecond + kThird;
   data[kFirst.size() + kFrameHeaderBytes] ^= 1;
   const ScanResult scan = scanRecords(data);
@@ -38,7 +38,7 @@
   EXPECT_FALSE(scan.torn_write || scan.damaged_tail);
 }
 
-TEST(RecordScanner, TellsATornWriteFromADamagedTail) {
+TEST(RecordScanner, DistinguishesATornWriteFromADamagedTail) {
   const std::string torn = kFirst + kSecond.substr(0, kSecond.size() - 1);
   const ScanResult torn_scan = scanRecords(torn);
   EXPECT_TRUE(torn_scan.torn_write);
--- a/tests/storage/recovery_report_test.cpp
+++ b/tests/storage/recovery_report_test.cpp
@@ -1,4 +1,4 @@
-// The recovery report as fields of a log line.
+// The fields that a recovery report adds to a log line.
 #include "storage/recovery_report.h"
 
 #include <gtest/gtest.h>
@@ -17,14 +17,14 @@
   return text;
 }
 
-TEST(RecoveryReport, ASoundJournalHasItsSizeAndNoDamage) {
+TEST(RecoveryReport, StatesTheSizeOfAnIntactJournalAndNoDamage) {
   RecoveryReport report;
   report.records = 212;
   report.bytes = 40960;
   EXPECT_EQ("records=212;bytes=40960;damaged_ranges=0;", fieldsOf(report));
 }
 
-TEST(RecoveryReport, EverythingThatHappenedIsNamed) {
+TEST(RecoveryReport, IncludesEveryFieldThatIsSet) {
   RecoveryReport report;
   report.records = 1;
   report.bytes = 2;
--- a/tests/storage/recovery_test.cpp
+++ b/tests/storage/recovery_test.cpp
@@ -1,5 +1,5 @@
-// What recovery gives back after damage: every cut, every flipped byte, blocks and records in another order,
-// records that contradict others, other versions, and clocks that changed.
+// Recovery from damage: files truncated at each length, each byte flipped, blocks and records repeated or in
+// another order, contradictory records, other format versions, and clocks that changed.
 #include "storage/recovery.h"
 
 #include <gtest/gtest.h>
@@ -16,23 +16,24 @@
 namespace delivery {
 namespace {
 
-TEST(Recovery, EveryCutLeavesTheRecordsBeforeIt) {
+TEST(Recovery, ATruncatedFileKeepsTheRecordsBeforeTheCut) {
   const std::string whole = journalWithEveryRecordType();
-  std::size_t most_entries = 0;
+  std::size_t max_messages = 0;
   for (std::size_t size = 0; size <= whole.size(); ++size) {
     const ReopenedJournal reopened = reopen(whole.substr(0, size));
     EXPECT_FALSE(reopened.damaged) << size;
-    for (const auto& [id, entry] : reopened.entries) {
-      EXPECT_LE(countAttemptsThatMayHaveRun(entry), 1u)
-          << id << " got an unknown attempt after a mere cut at " << size;
+    for (const auto& [id, journaled] : reopened.messages) {
+      EXPECT_LE(countAttemptsThatMayHaveRun(journaled), 1u)
+          << id << " got an unknown attempt from a truncation to " << size << " bytes";
     }
-    most_entries = std::max(most_entries, reopened.entries.size());
+    max_messages = std::max(max_messages, reopened.messages.size());
   }
-  EXPECT_EQ(5u, most_entries);
+  EXPECT_EQ(5u, max_messages);
 }
 
-// Also in the last record and in each byte of a head: none is taken for a torn write.
-TEST(Recovery, EveryFlippedByteIsFoundAndNoAttemptIsForgotten) {
+// A flipped byte must be reported as damage, also in the last record and in each byte of a frame header, and
+// not be taken for a torn write: a torn write is dropped silently, so an attempt in it would be lost.
+TEST(Recovery, DetectsEachFlippedByteAndLosesNoAttempt) {
   const std::string whole = journalWithEveryRecordType();
   for (std::size_t offset = 0; offset < whole.size(); ++offset) {
     for (const char bit : {'\x01', '\x80'}) {
@@ -43,18 +44,18 @@
       const ReopenedJournal reopened = reopen(disk);
       EXPECT_TRUE(reopened.damaged) << offset;
       EXPECT_TRUE(reopened.safeToResume()) << offset;
-      EXPECT_GE(reopened.entries.size(), 3u) << offset;  // one record is lost, no more
+      EXPECT_GE(reopened.messages.size(), 3u) << offset;  // at most one record is lost
       EXPECT_TRUE(reopened.report.quarantined) << offset;
       EXPECT_NE("", disk.content(kQuarantinePath)) << offset;
-      const ReopenedJournal again = reopen(disk);
-      EXPECT_FALSE(again.damaged) << offset << ": it was compacted";
-      EXPECT_TRUE(again.safeToResume()) << offset;
-      EXPECT_EQ(reopened.entries.size(), again.entries.size()) << offset;
+      const ReopenedJournal reopened_again = reopen(disk);
+      EXPECT_FALSE(reopened_again.damaged) << offset << ": the journal was compacted before";
+      EXPECT_TRUE(reopened_again.safeToResume()) << offset;
+      EXPECT_EQ(reopened.messages.size(), reopened_again.messages.size()) << offset;
     }
   }
 }
 
-TEST(Recovery, RepeatedAndSwappedBlocksForgetNoAttempt) {
+TEST(Recovery, RepeatedAndSwappedBlocksLoseNoAttempt) {
   constexpr std::size_t kBlockBytes = 512;
   SimulatedDisk disk;
   {
@@ -77,10 +78,10 @@
       repeated.insert(second, whole.substr(first, kBlockBytes));
       for (const std::string& data : {swapped, repeated}) {
         const ReopenedJournal reopened = reopen(data);
-        for (const auto& [id, entry] : reopened.entries) {
-          ASSERT_GT(countAttemptsThatMayHaveRun(entry), 0u) << id << ' ' << first << ' ' << second;
+        for (const auto& [id, journaled] : reopened.messages) {
+          ASSERT_GT(countAttemptsThatMayHaveRun(journaled), 0u) << id << ' ' << first << ' ' << second;
         }
-        EXPECT_GE(reopened.entries.size(), 30u);
+        EXPECT_GE(reopened.messages.size(), 30u);
       }
     }
   }
@@ -97,7 +98,7 @@
   return frames;
 }
 
-TEST(Recovery, RecordsInAnotherOrderOrTwiceAreReadBySequenceNumber) {
+TEST(Recovery, ReplaysRepeatedAndReorderedRecordsBySequenceNumber) {
   const std::string whole = journalWithEveryRecordType();
   std::string backwards;
   std::string twice;
@@ -105,14 +106,14 @@
     backwards.insert(0, frame);
     twice += frame + frame;
   }
-  const ReopenedJournal sound = reopen(whole);
+  const ReopenedJournal intact = reopen(whole);
   for (const std::string& data : {backwards, twice}) {
     const ReopenedJournal reopened = reopen(data);
     EXPECT_FALSE(reopened.damaged);
-    ASSERT_EQ(sound.entries.size(), reopened.entries.size());
-    for (const auto& [id, entry] : sound.entries) {
-      EXPECT_EQ(entry.attempts.size(), reopened.entries.at(id).attempts.size()) << id;
-      EXPECT_EQ(entry.notice_pending, reopened.entries.at(id).notice_pending) << id;
+    ASSERT_EQ(intact.messages.size(), reopened.messages.size());
+    for (const auto& [id, journaled] : intact.messages) {
+      EXPECT_EQ(journaled.attempts.size(), reopened.messages.at(id).attempts.size()) << id;
+      EXPECT_EQ(journaled.notice_pending, reopened.messages.at(id).notice_pending) << id;
     }
   }
 }
@@ -121,14 +122,14 @@
   return {version, false, clock.shift(), clock.toStored(kNow.monotonic), kNow.boot};
 }
 
-TEST(Recovery, ContradictoryRecordsChangeNothing) {
+TEST(Recovery, IgnoresContradictoryRecords) {
   const PersistentClock clock = PersistentClock::startingNow(kNow);
   RecordBuffer records(clock, 1);
   records.append(headerOfVersion(kJournalVersion, clock));
   records.append(AcceptedRecord{testMessage("run")});
   records.append(AttemptRecord{"run", "e1", 1});
-  const std::string sound = records.data();
-  records.append(AcceptedRecord{testMessage("run")});  // would forget its attempt
+  const std::string intact = records.data();
+  records.append(AcceptedRecord{testMessage("run")});  // would lose its attempt if it was applied
   records.append(AttemptRecord{"nobody", "e1", 1});
   records.append(AttemptNeverRanRecord{"run", 5});
   records.append(CompletedRecord{"nobody"});
@@ -136,12 +137,12 @@
   const ReopenedJournal reopened = reopen(records.data());
   EXPECT_TRUE(reopened.damaged);
   EXPECT_EQ(5u, reopened.report.contradictory_records) << reopened.report;
-  ASSERT_EQ(1u, reopened.entries.size());
-  EXPECT_EQ(1u, countAttemptsThatMayHaveRun(reopened.entries.at("run")));
-  EXPECT_FALSE(reopen(sound).damaged);
+  ASSERT_EQ(1u, reopened.messages.size());
+  EXPECT_EQ(1u, countAttemptsThatMayHaveRun(reopened.messages.at("run")));
+  EXPECT_FALSE(reopen(intact).damaged);
 }
 
-TEST(Recovery, ANewerVersionAndAnotherProgramsFileAreReportedAndQuarantined) {
+TEST(Recovery, ReportsRecordsOfANewerVersionAndQuarantinesAForeignFile) {
   const PersistentClock clock = PersistentClock::startingNow(kNow);
   RecordBuffer records(clock, 1);
   records.append(headerOfVersion(kJournalVersion + 1, clock));
@@ -151,20 +152,21 @@
   const ReopenedJournal reopened = reopen(data);
   EXPECT_TRUE(reopened.damaged);
   EXPECT_EQ(2u, reopened.report.unreadable_records) << reopened.report;
-  EXPECT_EQ(1u, countAttemptsThatMayHaveRun(reopened.entries.at("run")))
-      << "what is not understood may have been an attempt";
+  EXPECT_EQ(1u, countAttemptsThatMayHaveRun(reopened.messages.at("run")))
+      << "a record that can't be decoded may have been an attempt";
   SimulatedDisk disk;
   disk.setContent(kJournalPath, std::string(300'000, '\x7f') + "ELF");
   const ReopenedJournal other = reopen(disk);
   EXPECT_TRUE(other.damaged);
-  EXPECT_TRUE(other.entries.empty());
+  EXPECT_TRUE(other.messages.empty());
   EXPECT_LE(disk.content(kQuarantinePath).size(), kDiskBytes / 16);
   EXPECT_TRUE(other.report.quarantined) << other.report;
   EXPECT_GT(other.report.unquarantined_bytes, 0u) << other.report;
   EXPECT_LE(disk.bytesOnDisk(), kDiskBytes);
 }
 
-// Records of version 1, written by hand: that version has no sequence numbers.
+// The following functions build records of version 1, which the journal no longer writes. That version has no
+// sequence numbers.
 template <class Unsigned>
 std::string littleEndian(Unsigned value) {
   std::string bytes;
@@ -196,7 +198,7 @@
                         version1Text("t"));
 }
 
-TEST(Recovery, Version1IsReadAndCompactedAsVersion2) {
+TEST(Recovery, ReadsVersion1AndCompactsItToVersion2) {
   const std::string first = version1Accepted("run");
   const std::string attempt =
       version1Record("T" + version1Text("run") + version1Text("e1") + version1Integer(kNow.unix));
@@ -210,52 +212,54 @@
   disk.setContent(kJournalPath, whole);
   const ReopenedJournal reopened = reopen(disk);
   EXPECT_FALSE(reopened.damaged) << reopened.report;
-  ASSERT_EQ(3u, reopened.entries.size());
-  const JournaledMessage& run = reopened.entries.at("run");
+  ASSERT_EQ(3u, reopened.messages.size());
+  const JournaledMessage& run = reopened.messages.at("run");
   EXPECT_EQ(kNow.monotonic + 5 * kSecondMicros, run.message.deadline.at());
   EXPECT_EQ("t", run.message.tenant);
   EXPECT_TRUE(run.message.is_retry);
   EXPECT_EQ(kNow.monotonic, run.attempts.at(0).sent_at);
-  EXPECT_EQ(0u, countAttemptsThatMayHaveRun(reopened.entries.at("new")));
-  EXPECT_EQ(250, reopened.entries.at("pending").notice.retry_after_ms);
+  EXPECT_EQ(0u, countAttemptsThatMayHaveRun(reopened.messages.at("new")));
+  EXPECT_EQ(250, reopened.messages.at("pending").notice.retry_after_ms);
   EXPECT_EQ("\xA7GJ2", disk.content(kJournalPath).substr(0, 4));
   for (std::size_t offset = first.size(); offset < first.size() + attempt.size(); ++offset) {
     std::string data = whole;
     data[offset] = static_cast<char>(data[offset] ^ 0x55);
     EXPECT_TRUE(reopen(data).safeToResume()) << offset;
   }
-  EXPECT_EQ(1u, reopen(first + attempt.substr(0, 20)).entries.size());
+  EXPECT_EQ(1u, reopen(first + attempt.substr(0, 20)).messages.size());
 }
 
 // ---- Clocks
 
-TEST(RecoveryClocks, AStepOfTheWallClockChangesNothing) {
+TEST(RecoveryClocks, AStepOfTheWallClockChangesNoDeadlineOrAttemptTime) {
   for (const Micros step : {-3600 * kSecondMicros, 3600 * kSecondMicros}) {
     ClockReadings later = kNow;
     later.monotonic += 10 * kSecondMicros;
     later.unix += step;
     const ReopenedJournal reopened = reopen(journalWithEveryRecordType(), later);
-    EXPECT_EQ(testMessage("new").deadline, reopened.entries.at("new").message.deadline);
-    EXPECT_EQ(kNow.monotonic, reopened.entries.at("run").attempts.at(0).sent_at);
+    EXPECT_EQ(testMessage("new").deadline, reopened.messages.at("new").message.deadline);
+    EXPECT_EQ(kNow.monotonic, reopened.messages.at("run").attempts.at(0).sent_at);
   }
 }
 
-Micros deadlineOfNew(const ClockReadings& now) {
-  return reopen(journalWithEveryRecordType(), now).entries.at("new").message.deadline.at();
+Micros recoveredDeadlineOfNew(const ClockReadings& now) {
+  return reopen(journalWithEveryRecordType(), now).messages.at("new").message.deadline.at();
 }
 
-// After a reboot only Unix time is left to go by; no message has more than its whole time to live.
+// After a reboot the monotonic clock starts reopened_again, so deadlines are derived from Unix time, which
+// may have been set back in the meantime. No message may get more than its whole time to live by that.
 TEST(RecoveryClocks, AfterARebootNoMessageHasMoreThanItsTimeToLive) {
   ClockReadings later{2 * kSecondMicros, kNow.unix + 10 * kSecondMicros, "boot-b"};
-  EXPECT_EQ(20 * kSecondMicros, deadlineOfNew(later));
+  EXPECT_EQ(20 * kSecondMicros, recoveredDeadlineOfNew(later));
   later.unix = kNow.unix - 3600 * kSecondMicros;
-  EXPECT_EQ(30 * kSecondMicros, deadlineOfNew(later));
+  EXPECT_EQ(30 * kSecondMicros, recoveredDeadlineOfNew(later));
 }
 
-// Where no boot id is known, a clock that stands before what was written is another one.
-TEST(RecoveryClocks, AClockThatWentBackIsAnotherOne) {
+// If boot ids are unknown, they do not show a reboot. A monotonic clock that is before the times in the file
+// does.
+TEST(RecoveryClocks, AMonotonicClockThatWentBackIsTreatedAsAReboot) {
   const ClockReadings restarted{kSecondMicros, kNow.unix + 10 * kSecondMicros, kNow.boot};
-  EXPECT_EQ(19 * kSecondMicros, deadlineOfNew(restarted));
+  EXPECT_EQ(19 * kSecondMicros, recoveredDeadlineOfNew(restarted));
 }
 
 }  // namespace
--- a/tests/storage/simulated_disk.h
+++ b/tests/storage/simulated_disk.h
@@ -1,4 +1,5 @@
-// A disk in memory for tests of the journal: calls that fail, a kill in the middle of a call, and power cuts.
+// A simulated disk in memory for tests of the journal, with calls that fail, kills in the middle of a call,
+// and power cuts.
 #pragma once
 
 #include <fcntl.h>
@@ -17,18 +18,19 @@
 
 namespace delivery {
 
-// A kill stops the disk in the middle of a call and keeps what was written. A power cut loses any part of
-// what was not synced.
+// A kill of the process ends it in the middle of a call and keeps the data that was written. A power cut may
+// lose any part of the data that was not synced.
 class SimulatedDisk : public FileSystem {
  public:
   explicit SimulatedDisk(unsigned seed = 1) : random_(seed) {}
 
-  // Calls are counted from 1. From call `fail_from` on, `fail_count` calls fail with this errno; 0: none.
+  // Calls are counted from 1. From call `fail_from` on, `fail_count` calls fail with `fail_errno`. No call
+  // fails if that is 0.
   int fail_errno = 0;
   int fail_from = 0;
   int fail_count = 0;
-  int kill_at_call = 0;       // the call in which the process is killed; 0: none
-  bool short_writes = false;  // a write may write less than it was given
+  int kill_at_call = 0;       // the call in which the process is killed; 0 if it is not killed
+  bool short_writes = false;  // whether a write may write only a part of its data
 
   int syncCount() const { return sync_count_; }
   bool killed() const { return killed_; }
@@ -41,14 +43,14 @@
     for (const auto& [name, file] : synced_files_) {
       loseUnsyncedWrites(*file);
     }
-    if (below(2) == 0) {
-      files_ = synced_files_;  // no rename since the last sync of the folder is on the disk
+    if (randomBelow(2) == 0) {
+      files_ = synced_files_;  // loses the renames since the latest sync of the folder
     }
     synced_files_ = files_;
     restart();
   }
 
-  // A new process finds the files as they are.
+  // Starts a new process on the files as they are.
   void restart() {
     killed_ = false;
     kill_at_call = 0;
@@ -72,7 +74,7 @@
     synced_files_ = files_;
   }
 
-  // Of all files, in whole blocks.
+  // The size of all files together, in whole blocks.
   std::uint64_t bytesOnDisk() const {
     constexpr std::size_t kBlockBytes = 512;
     std::uint64_t sum = 0;
@@ -102,32 +104,32 @@
     return last_descriptor_;
   }
 
-  ssize_t read(int fd, char* to, std::size_t size) override {
+  ssize_t read(int fd, char* buffer, std::size_t size) override {
     if (!beginCall()) {
       return -1;
     }
     OpenFile& open_file = open_files_.at(fd);
     const std::string& content = open_file.file->content;
-    const std::size_t count = content.copy(to, size, open_file.position);
+    const std::size_t count = content.copy(buffer, size, open_file.position);
     open_file.position += count;
     return static_cast<ssize_t>(count);
   }
 
-  ssize_t write(int fd, const char* from, std::size_t size) override {
+  ssize_t write(int fd, const char* data, std::size_t size) override {
     const bool alive = beginCall();
     if (!alive && !killed_in_this_call_) {
       return -1;
     }
     std::size_t count = size;
     if (!alive || (short_writes && size > 1)) {
-      count = static_cast<std::size_t>(below(static_cast<int>(size)));
+      count = static_cast<std::size_t>(randomBelow(static_cast<int>(size)));
     }
     if (alive && count == 0) {
       count = 1;
     }
     killed_in_this_call_ = false;
     if (count > 0) {
-      open_files_.at(fd).file->append(std::string(from, count));
+      open_files_.at(fd).file->append(std::string(data, count));
     }
     return alive ? static_cast<ssize_t>(count) : -1;
   }
@@ -221,7 +223,7 @@
     std::size_t position = 0;
   };
 
-  // False, with errno: this call fails.
+  // Counts a call. Returns false and sets errno if the call has to fail.
   bool beginCall() {
     killed_in_this_call_ = false;
     if (killed_) {
@@ -242,11 +244,11 @@
     return true;
   }
 
-  // Any of the writes may be lost, in any order. What was not written before a later write reads as zeros.
+  // Any of the writes may be lost, whatever their order. A lost range before a later write reads as zeros.
   void loseUnsyncedWrites(File& file) {
     std::string kept = file.synced_content;
     for (const Write& write : file.unsynced_writes) {
-      if (below(3) == 0) {
+      if (randomBelow(3) == 0) {
         continue;
       }
       if (kept.size() < write.offset + write.data.size()) {
@@ -259,11 +261,13 @@
     file.unsynced_writes.clear();
   }
 
-  int below(int limit) { return static_cast<int>(random_() % static_cast<unsigned>(std::max(1, limit))); }
+  int randomBelow(int limit) {
+    return static_cast<int>(random_() % static_cast<unsigned>(std::max(1, limit)));
+  }
 
   std::mt19937 random_;
   std::map<std::string, std::shared_ptr<File>> files_;
-  std::map<std::string, std::shared_ptr<File>> synced_files_;  // the names that a power cut leaves
+  std::map<std::string, std::shared_ptr<File>> synced_files_;  // as of the latest sync of the folder
   std::map<int, OpenFile> open_files_;
   int last_descriptor_ = 2;
   int call_count_ = 0;
--- a/tests/support/journal_dump.h
+++ b/tests/support/journal_dump.h
@@ -1,5 +1,5 @@
-// The content of a journal as plain text, one fact a line. The words are those of the recorded .expected
-// files in tests/data/journal and must not follow the names in the code.
+// Prints the content of a journal as plain text, one fact a line. The texts have to match the recorded
+// .expected files in tests/data/journal. Therefore they do not change when names in the code do.
 #pragma once
 
 #include <algorithm>
@@ -30,17 +30,17 @@
   return value ? "yes" : "no";
 }
 
-// The messages that are still open, in the order of their acceptance; the last endpoint list and the health
-// records.
-inline std::string openText(std::vector<JournaledMessage> entries, const std::string& list,
+// The open messages in the order of acceptance, the latest endpoint list and the health records.
+inline std::string openText(std::vector<JournaledMessage> messages, const std::string& list,
                             const std::vector<HealthRecord>& health) {
   std::ostringstream out;
-  std::sort(entries.begin(), entries.end(), [](const JournaledMessage& left, const JournaledMessage& right) {
-    return left.acceptance_order < right.acceptance_order;
-  });
-  out << "accepted messages still open: " << entries.size() << '\n';
-  for (const JournaledMessage& entry : entries) {
-    const SubmittedMessage& message = entry.message;
+  std::sort(messages.begin(), messages.end(),
+            [](const JournaledMessage& left, const JournaledMessage& right) {
+              return left.acceptance_order < right.acceptance_order;
+            });
+  out << "accepted messages still open: " << messages.size() << '\n';
+  for (const JournaledMessage& journaled : messages) {
+    const SubmittedMessage& message = journaled.message;
     const std::string prefix = "message " + quoted(message.id) + " ";
     out << prefix << "class: " << quoted(message.message_class) << '\n'
         << prefix << "tenant: " << quoted(message.tenant) << '\n'
@@ -51,18 +51,18 @@
         << prefix << "deadline, monotonic us: " << message.deadline.at() << '\n'
         << prefix << "time it had in all, us: " << message.time_to_live << '\n'
         << prefix << "repeat: " << yesNo(message.is_retry) << '\n'
-        << prefix << "attempts: " << entry.attempts.size() << '\n';
-    for (std::size_t i = 0; i < entry.attempts.size(); ++i) {
-      out << prefix << "attempt " << i << ": endpoint " << quoted(entry.attempts[i].endpoint)
-          << ", sent at monotonic us " << entry.attempts[i].sent_at
-          << ", never ran: " << yesNo(entry.attempts[i].never_ran) << '\n';
+        << prefix << "attempts: " << journaled.attempts.size() << '\n';
+    for (std::size_t i = 0; i < journaled.attempts.size(); ++i) {
+      out << prefix << "attempt " << i << ": endpoint " << quoted(journaled.attempts[i].endpoint)
+          << ", sent at monotonic us " << journaled.attempts[i].sent_at
+          << ", never ran: " << yesNo(journaled.attempts[i].never_ran) << '\n';
     }
     out << prefix << "notification owed: ";
-    if (!entry.notice_pending) {
+    if (!journaled.notice_pending) {
       out << "none\n";
     } else {
-      out << (entry.notice.returned ? "handed back" : "given up") << ", retry in ms "
-          << entry.notice.retry_after_ms << '\n';
+      out << (journaled.notice.returned ? "handed back" : "given up") << ", retry in ms "
+          << journaled.notice.retry_after_ms << '\n';
     }
   }
   out << "endpoint list: " << (list.empty() ? "none" : quoted(list)) << '\n';
@@ -75,44 +75,45 @@
   return out.str();
 }
 
-inline std::string openText(const ReplayResult& recovered) {
-  std::vector<JournaledMessage> entries;
+inline std::string openText(const ReplayResult& replay) {
+  std::vector<JournaledMessage> messages;
   std::vector<HealthRecord> health;
-  for (const auto& [id, entry] : recovered.state.messages()) {
-    entries.push_back(entry);
+  for (const auto& [id, journaled] : replay.state.messages()) {
+    messages.push_back(journaled);
   }
-  for (const auto& [key, record] : recovered.state.healthRecords()) {
+  for (const auto& [key, record] : replay.state.healthRecords()) {
     health.push_back(record);
   }
-  return openText(entries, recovered.state.endpointList(), health);
+  return openText(messages, replay.state.endpointList(), health);
 }
 
-inline std::string fileText(const ReplayResult& recovered) {
+// The records of the file, its damage, its clock and its header.
+inline std::string fileText(const ReplayResult& replay) {
   std::ostringstream out;
-  out << "records: " << recovered.scan.records.size() << '\n';
-  for (const auto& record : recovered.scan.records) {
+  out << "records: " << replay.scan.records.size() << '\n';
+  for (const auto& record : replay.scan.records) {
     out << "record number " << record.sequence_number << ": format version " << record.version << ", type "
         << quoted(std::string(1, record.payload[0])) << ", bytes " << record.payload.size() << '\n';
   }
-  out << "damaged ranges: " << recovered.scan.damaged_ranges.size() << '\n';
-  for (const ByteRange& range : recovered.scan.damaged_ranges) {
+  out << "damaged ranges: " << replay.scan.damaged_ranges.size() << '\n';
+  for (const ByteRange& range : replay.scan.damaged_ranges) {
     out << "damaged range: bytes " << range.begin << " to " << range.end << '\n';
   }
-  out << "gaps in the numbers: " << recovered.gaps << '\n'
-      << "unreadable records: " << recovered.unreadable_records << '\n'
-      << "contradictory records: " << recovered.contradictory_records << '\n'
-      << "repeated records: " << recovered.scan.duplicate_records << '\n'
-      << "torn tail: " << yesNo(recovered.scan.torn_write) << '\n'
-      << "damaged tail: " << yesNo(recovered.scan.damaged_tail) << '\n'
-      << "end of the last sound record: " << recovered.scan.valid_end << '\n'
-      << "counts as damaged: " << yesNo(recovered.damaged()) << '\n'
-      << "power cut: " << yesNo(recovered.power_cut) << '\n'
-      << "monotonic clock goes on: " << yesNo(recovered.clock_continues) << '\n'
-      << "clock shift used, us: " << recovered.clock.shift() << '\n'
-      << "next record number: " << recovered.next_sequence_number << '\n'
-      << "file head: version " << recovered.header.version << ", durable: " << yesNo(recovered.header.durable)
-      << ", clock shift us " << recovered.header.clock_shift << ", written at disk us "
-      << recovered.header.written_at << ", boot " << quoted(recovered.header.boot_id) << '\n';
+  out << "gaps in the numbers: " << replay.gaps << '\n'
+      << "unreadable records: " << replay.unreadable_records << '\n'
+      << "contradictory records: " << replay.contradictory_records << '\n'
+      << "repeated records: " << replay.scan.duplicate_records << '\n'
+      << "torn tail: " << yesNo(replay.scan.torn_write) << '\n'
+      << "damaged tail: " << yesNo(replay.scan.damaged_tail) << '\n'
+      << "end of the last sound record: " << replay.scan.valid_end << '\n'
+      << "counts as damaged: " << yesNo(replay.damaged()) << '\n'
+      << "power cut: " << yesNo(replay.power_cut) << '\n'
+      << "monotonic clock goes on: " << yesNo(replay.clock_continues) << '\n'
+      << "clock shift used, us: " << replay.clock.shift() << '\n'
+      << "next record number: " << replay.next_sequence_number << '\n'
+      << "file head: version " << replay.header.version << ", durable: " << yesNo(replay.header.durable)
+      << ", clock shift us " << replay.header.clock_shift << ", written at disk us "
+      << replay.header.written_at << ", boot " << quoted(replay.header.boot_id) << '\n';
   return out.str();
 }
 
--- a/tests/support/temp_folder.h
+++ b/tests/support/temp_folder.h
@@ -1,4 +1,4 @@
-// A folder that lasts as long as a test.
+// A temporary folder for one test.
 #pragma once
 
 #include <cstdlib>
@@ -7,7 +7,7 @@
 
 namespace delivery::loopback {
 
-// Removed at the end, with the files that SenderProgram puts beside it.
+// The destructor removes the folder, and the folder and the file that SenderProgram puts beside it.
 class TempFolder {
  public:
   TempFolder() {
