--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -159,8 +159,8 @@
          replay.scan.duplicate_records == 0;
 }
 
-// Used if a compaction fails, for instance for lack of space. Appends the attempts that recovery assumed, as
-// the next start would not know of them otherwise.
+// Used if a compaction fails, for instance for lack of disk space. Appends the attempts that recovery
+// assumed, as the next start would not know of them otherwise.
 void Journal::appendUnknownAttempts() {
   append(header_);
   std::vector<AttemptRecord> unknown_attempts;
@@ -288,6 +288,7 @@
   return appendToFile();
 }
 
+// Whether more than half of the file, and more than kMinCompactionGainBytes, is no longer live.
 bool Journal::isWorthCompacting(std::uint64_t file_size) const {
   return file_size > 2 * live_bytes_ && file_size - live_bytes_ > kMinCompactionGainBytes;
 }
--- a/tests/storage/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -154,7 +154,7 @@
   return sum;
 }
 
-// A sender that exceeds its disk budget crashes. Therefore messages that do not fit are rejected, and
+// Exceeding the disk budget counts as a crash. Therefore messages that do not fit are rejected, and
 // completed messages free their space.
 TEST(Journal, StaysWithinItsDiskBudgetDuringCompaction) {
   const TempFolder folder;
--- a/tests/storage/recovery_test.cpp
+++ b/tests/storage/recovery_test.cpp
@@ -16,6 +16,8 @@
 namespace delivery {
 namespace {
 
+// A process that is killed during a write leaves a truncated record. That is no damage: the earlier records
+// must be recovered without assumed attempts, as those would keep messages from being sent.
 TEST(Recovery, ATruncatedFileKeepsTheRecordsBeforeTheCut) {
   const std::string whole = journalWithEveryRecordType();
   std::size_t max_messages = 0;
@@ -55,6 +57,8 @@
   }
 }
 
+// Blocks that are in the wrong place or repeated damage the records at their borders. No message may be
+// recovered without the attempt that belongs to it, or it would be sent as if it was never sent before.
 TEST(Recovery, RepeatedAndSwappedBlocksLoseNoAttempt) {
   constexpr std::size_t kBlockBytes = 512;
   SimulatedDisk disk;
@@ -122,6 +126,8 @@
   return {version, false, clock.shift(), clock.toStored(kNow.monotonic), kNow.boot};
 }
 
+// A record that does not fit the earlier ones, such as a second acceptance of an open message, must not
+// change the state: applying it would lose the message's attempts.
 TEST(Recovery, IgnoresContradictoryRecords) {
   const PersistentClock clock = PersistentClock::startingNow(kNow);
   RecordBuffer records(clock, 1);
@@ -246,8 +252,8 @@
   return reopen(journalWithEveryRecordType(), now).messages.at("new").message.deadline.at();
 }
 
-// After a reboot the monotonic clock starts reopened_again, so deadlines are derived from Unix time, which
-// may have been set back in the meantime. No message may get more than its whole time to live by that.
+// After a reboot the monotonic clock restarts, so deadlines are derived from Unix time, which may have been
+// set back in the meantime. No message may get more than its whole time to live by that.
 TEST(RecoveryClocks, AfterARebootNoMessageHasMoreThanItsTimeToLive) {
   ClockReadings later{2 * kSecondMicros, kNow.unix + 10 * kSecondMicros, "boot-b"};
   EXPECT_EQ(20 * kSecondMicros, recoveredDeadlineOfNew(later));
