--- a/src/storage/record_codec.h
+++ b/src/storage/record_codec.h
@@ -38,22 +38,27 @@
   Micros written_at = 0;   // in stored form, see PersistentClock
   std::string boot_id;     // the kernel's boot id; empty if it is unknown
 };
+// A message was accepted and is open from then on.
 struct AcceptedRecord {
   SubmittedMessage message;
 };
+// The message is about to be sent to an endpoint.
 struct AttemptRecord {
   std::string message_id;
-  std::string endpoint;
-  Micros sent_at = 0;  // on the monotonic clock
+  std::string endpoint;  // empty if it is unknown
+  Micros sent_at = 0;    // on the monotonic clock
 };
+// The endpoint certainly did not process an attempt.
 struct AttemptNeverRanRecord {
   std::string message_id;
   std::size_t attempt_index = 0;  // 0 is the first attempt of the message
 };
+// The message ended without delivery, and its client has yet to confirm the notice.
 struct NoticePendingRecord {
   std::string message_id;
   CompletionNotice notice;
 };
+// The message was delivered or withdrawn, or its notice was confirmed. It is no longer open.
 struct CompletedRecord {
   std::string message_id;
 };
