--- a/src/common/settings.h
+++ b/src/common/settings.h
@@ -11,7 +11,7 @@
 
 enum class Idempotency {
   idempotent,     // may be repeated at will
-  with_key,       // may be repeated inside its deduplication scope and window
+  deduplicated,   // may be repeated inside its deduplication scope and window
   non_idempotent  // must not be repeated once it may have run
 };
 enum class DeduplicationScope { all, zone, cell };  // the endpoints that share a record of repeats
@@ -21,14 +21,14 @@
 
 struct MessageClass {
   std::string name;
-  Micros latency_objective = 0;  // full value when delivered within this
-  Micros deadline = 0;           // abandoned after this
-  double objective_stretch = 0;  // the objective grows by so much of the message's work estimate
+  Micros latency_objective = 0;     // full value when delivered within this
+  Micros deadline = 0;              // abandoned after this
+  double work_estimate_factor = 0;  // the objective grows by so much of the message's work estimate
   double priority_weight = 1;
   double late_weight_share = 0;  // share of the weight left at the deadline
   Idempotency idempotency = Idempotency::idempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::all;
-  Micros deduplication_window = 0;  // with_key: how long a repeat is dropped
+  Micros deduplication_window = 0;  // deduplicated: how long a repeat is dropped
   bool ordered = false;             // one at a time per order key
 };
 
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -54,7 +54,8 @@
     if (rules.idempotency == Idempotency::idempotent || !message.mayHaveRun()) {
       return true;
     }
-    return rules.idempotency == Idempotency::with_key && rules.deduplication_scope == DeduplicationScope::all;
+    return rules.idempotency == Idempotency::deduplicated &&
+           rules.deduplication_scope == DeduplicationScope::all;
   }
 
   bool hasAttemptLeft(const Message& message) const {
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -318,7 +318,7 @@
     turn.count(message.destination->traffic);
     message.arrived_at = turn.now;
     message.submitted_at = std::min(turn.now, arrival.deadline.remaining(rules->deadline));
-    const auto stretch = static_cast<Micros>(rules->objective_stretch * arrival.work_estimate);
+    const auto stretch = static_cast<Micros>(rules->work_estimate_factor * arrival.work_estimate);
     message.latency_objective = std::min(rules->deadline, rules->latency_objective + stretch);
     message.expires_at = arrival.deadline.remaining(2 * turn.settings.tick);
     message.order = ++last_order;
--- a/src/protocol/settings_reader.cpp
+++ b/src/protocol/settings_reader.cpp
@@ -7,7 +7,7 @@
 
 constexpr EnumWord<Idempotency> kIdempotencyWords[] = {
     {"idempotent", Idempotency::idempotent},
-    {"deduplicated", Idempotency::with_key},
+    {"deduplicated", Idempotency::deduplicated},
     {"at_most_once", Idempotency::non_idempotent},
 };
 
@@ -40,7 +40,7 @@
   message_class.name = readString(object, "Name");
   message_class.latency_objective = readMilliseconds(object, "AimMs");
   message_class.deadline = readMilliseconds(object, "DeadlineMs");
-  message_class.objective_stretch = readNumber(object, "AimStretch", 0);
+  message_class.work_estimate_factor = readNumber(object, "AimStretch", 0);
   message_class.priority_weight = readNumber(object, "Worth", 1);
   message_class.late_weight_share = readNumber(object, "LateWorth", 0);
   message_class.idempotency =
@@ -139,7 +139,7 @@
   require(message_class.deadline >= message_class.latency_objective, "classes.deadline");
   require(message_class.deduplication_window >= 0, "classes.memory");
   require(message_class.priority_weight >= 0 && message_class.late_weight_share >= 0 &&
-              message_class.objective_stretch >= 0,
+              message_class.work_estimate_factor >= 0,
           "classes.worth");
 }
 
--- a/tests/decision/property_test.cpp
+++ b/tests/decision/property_test.cpp
@@ -271,7 +271,7 @@
     if (may_have_run && message.rules->idempotency == Idempotency::non_idempotent) {
       ADD_FAILURE() << "rejected a message that may have run: " << id;
     }
-    if (may_have_run && message.rules->idempotency == Idempotency::with_key) {
+    if (may_have_run && message.rules->idempotency == Idempotency::deduplicated) {
       EXPECT_EQ(message.rules->deduplication_scope, DeduplicationScope::all) << id;
     }
   }
@@ -308,7 +308,7 @@
       }
       EXPECT_NE(message.rules->idempotency, Idempotency::non_idempotent)
           << "not idempotent and sent twice: " << send.id;
-      if (message.rules->idempotency != Idempotency::with_key) {
+      if (message.rules->idempotency != Idempotency::deduplicated) {
         continue;
       }
       EXPECT_LE(now_, attempt.sent_at + message.rules->deduplication_window);
--- a/tests/support/scheduler_fixture.h
+++ b/tests/support/scheduler_fixture.h
@@ -28,7 +28,8 @@
 
 inline Settings makeSettings() {
   Settings settings;
-  settings.classes = {makeClass("safe", Idempotency::idempotent), makeClass("keyed", Idempotency::with_key),
+  settings.classes = {makeClass("safe", Idempotency::idempotent),
+                      makeClass("keyed", Idempotency::deduplicated),
                       makeClass("unsafe", Idempotency::non_idempotent)};
   settings.destination_kinds = {{"shared", false, 1}, {"apart", true, 1}, {"batch", false, 3}};
   settings.zones = {"a", "b"};
