--- a/src/network/client_server.h
+++ b/src/network/client_server.h
@@ -20,9 +20,9 @@
 
 class ClientServer {
  public:
-  using Reply = std::function<void(const SubmitReply&)>;  // called once
+  using ReplyCallback = std::function<void(const SubmitReply&)>;  // called once
   // A client submits a message. It is answered by calling the reply, now or later.
-  using OnSubmit = std::function<void(AcceptedMessage, Reply)>;
+  using OnSubmit = std::function<void(AcceptedMessage, ReplyCallback)>;
 
   ClientServer(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor acceptor,
                ClientAdmission& admission, OnSubmit on_submit);
--- a/src/network/completion_notifier.h
+++ b/src/network/completion_notifier.h
@@ -23,7 +23,7 @@
   // What is in flight is sent again there.
   void changeServer(tcp::endpoint server, std::string host);
   void stop() { client_.stop(); }
-  std::size_t pending() const { return pending_.size(); }  // notices that are not acknowledged
+  std::size_t pendingCount() const { return pending_.size(); }  // notices that are not acknowledged
 
  private:
   struct PendingNotice {
--- a/src/network/endpoint_pool.cpp
+++ b/src/network/endpoint_pool.cpp
@@ -53,7 +53,7 @@
       on_calls_withdrawn_(std::move(on_calls_withdrawn)),
       idle_timer_(io) {}
 
-void EndpointPool::setAddress(const std::string& endpoint, const std::string& address, bool has_own_route) {
+void EndpointPool::setEndpoint(const std::string& endpoint, const std::string& address, bool has_own_route) {
   Endpoint& known = endpoints_[endpoint];
   known.has_own_route = has_own_route;
   if (known.address == address) {
--- a/src/network/endpoint_pool.h
+++ b/src/network/endpoint_pool.h
@@ -40,7 +40,7 @@
 
   // Of an endpoint that is listed, new or changed. `has_own_route`: a Retry-After of another endpoint of its
   // destination does not hold for it.
-  void setAddress(const std::string& endpoint, const std::string& address, bool has_own_route = false);
+  void setEndpoint(const std::string& endpoint, const std::string& address, bool has_own_route = false);
   std::vector<std::string> knownEndpoints() const;
   // No answer is awaited after `deadline`, connecting included.
   void startCall(const AcceptedMessage& message, int attempt, const std::string& endpoint, Deadline deadline);
--- a/src/process/active_role.cpp
+++ b/src/process/active_role.cpp
@@ -42,7 +42,7 @@
       watch_(discoveryClient(io, configuration), configuration.seed,
              [this](const json& answer) { return driver_.onEndpointList(answer); }),
       clients_(io, listenForClients(io, configuration), admission,
-               [this](AcceptedMessage message, ClientServer::Reply reply) {
+               [this](AcceptedMessage message, ClientServer::ReplyCallback reply) {
                  driver_.submit(std::move(message), std::move(reply));
                }),
       handover_listener_(io, configuration.scratch_folder, std::move(callbacks.on_successor)) {
@@ -73,7 +73,7 @@
 }
 
 bool ActiveRole::idle() const {
-  return !hasUnansweredRequests() && notifier_.pending() == 0 && driver_.idle();
+  return !hasUnansweredRequests() && notifier_.pendingCount() == 0 && driver_.idle();
 }
 
 }  // namespace delivery
--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -85,7 +85,8 @@
       recoverMessage(entry, calls_in_flight, after_handover);
     }
   }
-  logRecovery(recovered, pending_messages_.size(), notifier_.pending(), (monotonicNow() - started_at) / 1000);
+  logRecovery(recovered, pending_messages_.size(), notifier_.pendingCount(),
+              (monotonicNow() - started_at) / 1000);
   journal_.releaseRecovered();
 }
 
@@ -185,7 +186,7 @@
   if (endpoint.state == EndpointState::removed) {
     endpoints_.closeIdle(endpoint.id);
   } else {
-    endpoints_.setAddress(endpoint.id, listed.address, hasIndependentRoutes(endpoint.kind));
+    endpoints_.setEndpoint(endpoint.id, listed.address, hasIndependentRoutes(endpoint.kind));
   }
   if (endpoint.state != EndpointState::ready) {
     endpoints_.onEndpointDraining(endpoint.id);
@@ -200,7 +201,7 @@
 
 // ---- Events
 
-void DecisionDriver::submit(AcceptedMessage message, ClientServer::Reply reply) {
+void DecisionDriver::submit(AcceptedMessage message, ClientServer::ReplyCallback reply) {
   if (const auto immediate_reply = replyWithoutDecision(message)) {
     reply(*immediate_reply);
     return;
@@ -356,7 +357,7 @@
   if (it == pending_messages_.end()) {
     return;
   }
-  const ClientServer::Reply send_reply = std::move(it->second.reply);
+  const ClientServer::ReplyCallback send_reply = std::move(it->second.reply);
   pending_messages_.erase(it);
   if (send_reply) {
     new_message_ids_.erase(id);
@@ -395,7 +396,7 @@
 // A message that could not be persisted is rejected, as a restart would forget it.
 void DecisionDriver::acknowledgeAcceptedMessages(bool persisted) {
   for (const std::string& id : new_message_ids_) {
-    const ClientServer::Reply send_reply = std::exchange(pending_messages_.at(id).reply, nullptr);
+    const ClientServer::ReplyCallback send_reply = std::exchange(pending_messages_.at(id).reply, nullptr);
     if (persisted) {
       send_reply({SubmitStatus::accepted});
       continue;
--- a/src/process/decision_driver.h
+++ b/src/process/decision_driver.h
@@ -55,7 +55,7 @@
   bool hasEndpointList() const { return !known_destinations_.empty(); }
 
   // Calls `reply` once: at once if the message needs no decision, else when the module has decided.
-  void submit(AcceptedMessage message, ClientServer::Reply reply);
+  void submit(AcceptedMessage message, ClientServer::ReplyCallback reply);
   void onOutcome(AttemptOutcome outcome);
   void onNoticeAcknowledged(const std::string& message_id);
   void scheduleShutdown(Micros at);  // on the monotonic clock
@@ -66,7 +66,7 @@
   struct PendingMessage {  // submitted and not completed
     AcceptedMessage message;
     std::vector<std::string> attempt_endpoints;  // by attempt number
-    ClientServer::Reply reply;                   // empty once the client has its answer
+    ClientServer::ReplyCallback reply;           // empty once the client has its answer
   };
   // The number of each attempt that the journal has recorded. An action whose message is no longer pending
   // has none.
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -23,12 +23,12 @@
   explicit TestServer(std::int64_t max_connections) : admission(budgetFor(max_connections)) {
     auto acceptor = listenAt(io, {boost::asio::ip::address_v4::loopback(), 0});
     port = acceptor.local_endpoint().port();
-    server =
-        std::make_unique<ClientServer>(io, std::move(acceptor), admission,
-                                       [this](AcceptedMessage message, const ClientServer::Reply& reply) {
-                                         submitted = std::move(message);
-                                         reply({SubmitStatus::accepted});
-                                       });
+    server = std::make_unique<ClientServer>(
+        io, std::move(acceptor), admission,
+        [this](AcceptedMessage message, const ClientServer::ReplyCallback& reply) {
+          submitted = std::move(message);
+          reply({SubmitStatus::accepted});
+        });
   }
   static DescriptorBudget budgetFor(std::int64_t max_connections) {
     DescriptorBudget budget;
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -82,7 +82,7 @@
 AttemptOutcome outcomeOf(const ServerAction& action, Micros timeout = 60'000'000) {
   HttpServer server([&](const ReceivedRequest&) { return action; });
   TestPool pool;
-  pool.endpoints.setAddress("e", server.address());
+  pool.endpoints.setEndpoint("e", server.address());
   return pool.call("m", timeout);
 }
 
@@ -178,7 +178,7 @@
 TEST(EndpointPool, SilenceEndsInATimeoutAndClosesTheConnection) {
   HttpServer server([](const ReceivedRequest&) { return ServerAction{}; });
   TestPool pool;
-  pool.endpoints.setAddress("e", server.address());
+  pool.endpoints.setEndpoint("e", server.address());
   const AttemptOutcome outcome = pool.call("m", 200'000);
   EXPECT_EQ(AttemptResult::timeout, outcome.result);
   EXPECT_FALSE(outcome.finished);
@@ -187,9 +187,9 @@
 
 TEST(EndpointPool, ARefusedConnectionNeverRan) {
   TestPool pool;
-  pool.endpoints.setAddress("e", loopback::closedAddress());
+  pool.endpoints.setEndpoint("e", loopback::closedAddress());
   EXPECT_EQ(AttemptResult::connect_failed, pool.call("m").result);
-  pool.endpoints.setAddress("e", "nonsense");
+  pool.endpoints.setEndpoint("e", "nonsense");
   EXPECT_EQ(AttemptResult::connect_failed, pool.call("n").result);
 }
 
@@ -199,7 +199,7 @@
     return ServerAction{httpResponse("200 OK", "X-Pressure: x0=0.4,x1=25\r\n")};
   });
   TestPool pool;
-  pool.endpoints.setAddress("e", server.address());
+  pool.endpoints.setEndpoint("e", server.address());
   const AttemptOutcome outcome = pool.call("9b1f03aa5c7e2d41", 1'500'000);
   ASSERT_EQ(1u, server.requests().size());
   const ReceivedRequest request = server.requests()[0];
@@ -218,7 +218,7 @@
 TEST(EndpointPool, ConnectionsAreReusedAndClosedOnDemand) {
   HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   TestPool pool;
-  pool.endpoints.setAddress("e", server.address());
+  pool.endpoints.setEndpoint("e", server.address());
   pool.call("a");
   pool.call("b");
   EXPECT_EQ(server.requests()[0].connection, server.requests()[1].connection);
@@ -235,7 +235,7 @@
     return ServerAction{httpResponse("200 OK"), true};
   });  // closes, without saying so
   TestPool pool;
-  pool.endpoints.setAddress("e", server.address());
+  pool.endpoints.setEndpoint("e", server.address());
   for (int i = 0; i < 20; ++i) {
     EXPECT_EQ(AttemptResult::ok, pool.call("m" + std::to_string(i)).result);
     pool.io.restart();
@@ -248,7 +248,7 @@
 TEST(EndpointPool, AConnectionClosedAfterItWasChosenIsNotWrittenTo) {
   loopback::Listener endpoint;
   TestPool pool;
-  pool.endpoints.setAddress("e", endpoint.address());
+  pool.endpoints.setEndpoint("e", endpoint.address());
   pool.endpoints.startCall(pool.message("first"), 0, "e", within(60'000'000));
   const int fd = ::accept4(endpoint.fd, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
   char piece[4096];
@@ -281,7 +281,7 @@
 TEST(EndpointPool, AnIdleConnectionIsClosedBeforeTheEndpointWould) {
   HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   TestPool pool(100'000);
-  pool.endpoints.setAddress("e", server.address());
+  pool.endpoints.setEndpoint("e", server.address());
   pool.call("a");
   EXPECT_EQ(1u, pool.endpoints.idleCount());
   const auto until = std::chrono::steady_clock::now() + loopback::kWaitLimit;
@@ -295,7 +295,7 @@
 TEST(EndpointPool, ACancelledCallIsClosedAndHasOneOutcome) {
   HttpServer server([](const ReceivedRequest&) { return ServerAction{}; });
   TestPool pool;
-  pool.endpoints.setAddress("e", server.address());
+  pool.endpoints.setEndpoint("e", server.address());
   pool.endpoints.startCall(pool.message("m"), 3, "e", within(60'000'000));
   while (server.requests().empty()) {
     pool.io.restart();
@@ -317,7 +317,7 @@
 TEST(EndpointPool, ABurstOpensFewConnectionsAtOnce) {
   Stuck stuck;
   TestPool pool(60'000'000, 300'000);
-  pool.endpoints.setAddress("e", stuck.listener.address());
+  pool.endpoints.setEndpoint("e", stuck.listener.address());
   for (int i = 0; i < 8; ++i) {
     pool.endpoints.startCall(pool.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
   }
@@ -335,7 +335,7 @@
 TEST(EndpointPool, ABurstIsDeliveredOnTheConnectionsThatComeFree) {
   HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   TestPool pool;
-  pool.endpoints.setAddress("e", server.address());
+  pool.endpoints.setEndpoint("e", server.address());
   for (int i = 0; i < 8; ++i) {
     pool.endpoints.startCall(pool.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
   }
@@ -360,8 +360,8 @@
   Stuck stuck;
   for (const bool drain : {false, true}) {
     TestPool pool;
-    pool.endpoints.setAddress("e", stuck.listener.address());
-    pool.endpoints.setAddress("told", server.address());
+    pool.endpoints.setEndpoint("e", stuck.listener.address());
+    pool.endpoints.setEndpoint("told", server.address());
     for (int i = 0; i < 3; ++i) {  // two are opened, one waits
       pool.endpoints.startCall(pool.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
     }
@@ -388,8 +388,8 @@
     HttpServer server([&](const ReceivedRequest&) { return ServerAction{head, cut}; });
     Stuck stuck;
     TestPool pool;
-    pool.endpoints.setAddress("e", stuck.listener.address());
-    pool.endpoints.setAddress("told", server.address());
+    pool.endpoints.setEndpoint("e", stuck.listener.address());
+    pool.endpoints.setEndpoint("told", server.address());
     pool.endpoints.startCall(pool.message("m"), 0, "e", within(60'000'000));
     pool.endpoints.startCall(pool.message("told"), 0, "told", within(60'000'000));
     pool.waitFor(2);
@@ -414,7 +414,7 @@
   HttpServer server(
       [](const ReceivedRequest&) { return ServerAction{httpResponse("429 Slow", "Retry-After: 9\r\n")}; });
   TestPool pool;
-  pool.endpoints.setAddress("e", server.address());
+  pool.endpoints.setEndpoint("e", server.address());
   pool.endpoints.startCall(pool.message("m"), 0, "e", within(60'000'000));
   while (server.requests().empty()) {
     pool.io.run_one_for(std::chrono::milliseconds(1));
@@ -430,7 +430,7 @@
 TEST(EndpointPool, ACancelledCallWithoutAConnectionNeverRan) {
   Stuck stuck;
   TestPool pool;
-  pool.endpoints.setAddress("e", stuck.listener.address());
+  pool.endpoints.setEndpoint("e", stuck.listener.address());
   pool.endpoints.startCall(pool.message("m"), 0, "e", within(60'000'000));
   EXPECT_TRUE(pool.endpoints.cancel({"m", 0}));
   EXPECT_EQ(1u, pool.endpoints.inFlightCount());  // its outcome is still to be reported
@@ -445,8 +445,8 @@
       [](const ReceivedRequest&) { return ServerAction{httpResponse("429 Slow", "Retry-After: 9\r\n")}; });
   Stuck other;
   TestPool pool;
-  pool.endpoints.setAddress("other", other.listener.address(), true);
-  pool.endpoints.setAddress("told", server.address(), true);
+  pool.endpoints.setEndpoint("other", other.listener.address(), true);
+  pool.endpoints.setEndpoint("told", server.address(), true);
   pool.endpoints.startCall(pool.message("m"), 0, "other", within(60'000'000));
   pool.endpoints.startCall(pool.message("told"), 0, "told", within(60'000'000));
   pool.waitFor(1);
@@ -458,7 +458,7 @@
 TEST(EndpointPool, ACallAboutToBeWrittenIsWithdrawnByADrain) {
   HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   TestPool pool;
-  pool.endpoints.setAddress("e", server.address());
+  pool.endpoints.setEndpoint("e", server.address());
   pool.call("first");
   pool.endpoints.startCall(pool.message("second"), 0, "e", within(60'000'000));
   pool.endpoints.onEndpointDraining("e");
@@ -471,7 +471,7 @@
 TEST(EndpointPool, APartlyWrittenCallIsWithdrawnByADrainAndNeverRan) {
   loopback::Listener unread;
   TestPool pool;
-  pool.endpoints.setAddress("e", unread.address());
+  pool.endpoints.setEndpoint("e", unread.address());
   AcceptedMessage message = pool.message("m");
   message.body.assign(64u << 20, 'x');  // more than a socket's buffers hold
   pool.endpoints.startCall(message, 0, "e", within(60'000'000));
@@ -490,7 +490,7 @@
 TEST(EndpointPool, ConnectingCountsAgainstTheRemainingTime) {
   HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   TestPool pool;
-  pool.endpoints.setAddress("e", server.address());
+  pool.endpoints.setEndpoint("e", server.address());
   const Deadline until = within(5'000'000);
   std::this_thread::sleep_for(std::chrono::milliseconds(50));
   pool.endpoints.startCall(pool.message("fresh"), 0, "e", until);
@@ -507,7 +507,7 @@
 TEST(EndpointPool, ACallWithNoTimeLeftIsNotWritten) {
   HttpServer server([](const ReceivedRequest&) { return ServerAction{httpResponse("200 OK")}; });
   TestPool pool;
-  pool.endpoints.setAddress("e", server.address());
+  pool.endpoints.setEndpoint("e", server.address());
   EXPECT_EQ(AttemptResult::ok, pool.call("first").result);
   for (const Micros span : {Micros{-5'000'000}, Micros{0}}) {
     EXPECT_EQ(AttemptResult::connect_failed, pool.call("late" + std::to_string(span), span).result) << span;
@@ -524,8 +524,8 @@
   DescriptorBudget budget = TestPool::budget();
   budget.max_idle_connections = 3;
   pool.connections.setBudget(budget);
-  pool.endpoints.setAddress("e", server.address());
-  pool.endpoints.setAddress("f", server.address());
+  pool.endpoints.setEndpoint("e", server.address());
+  pool.endpoints.setEndpoint("f", server.address());
   for (int i = 0; i < 8; ++i) {
     pool.endpoints.startCall(pool.message("m" + std::to_string(i)), 0, "e", within(60'000'000));
   }
--- a/tests/process/handover_compatibility_test.cpp
+++ b/tests/process/handover_compatibility_test.cpp
@@ -409,7 +409,7 @@
   ResponseGates gates;
   HttpServer endpoint([&](const ReceivedRequest& request) { return gates.respond(request.field("X-Txn")); });
   const ResponseGates::Opener opener{gates};
-  const StuckListener stuck;
+  const FullBacklogListener stuck;
   TempFolder folder;
   DiscoveryServer discovery;
   const auto is_stuck = [](const json& message) {
--- a/tests/process/sender_test.cpp
+++ b/tests/process/sender_test.cpp
@@ -296,7 +296,7 @@
 // An endpoint that a full list leaves out is removed: a call whose connection to it is not up yet is retried
 // elsewhere at once, though connecting might take longer than the message lasts.
 TEST(SenderProgram, AFullListWithoutAnEndpointWithdrawsItsCalls) {
-  const StuckListener stuck;
+  const FullBacklogListener stuck;
   TempFolder folder;
   DiscoveryServer discovery;
   HttpServer other(respondOk);
@@ -447,7 +447,7 @@
       delivered.insert(request.field("X-Txn"));
       return ServerAction{httpResponse("200 OK")};
     });
-    const StuckListener stuck;
+    const FullBacklogListener stuck;
     TempFolder folder;
     DiscoveryServer discovery;
     json settings = testSettings();
--- a/tests/process/upgrade_test.cpp
+++ b/tests/process/upgrade_test.cpp
@@ -246,7 +246,7 @@
 // written, so the predecessor has nothing left to do and exits.
 TEST(Upgrade, ADrainOrRetryAfterThatTheSuccessorReceivesHoldsForCallsOfThePredecessor) {
   for (const bool drain : {true, false}) {
-    const StuckListener stuck;
+    const FullBacklogListener stuck;
     HttpServer full([](const ReceivedRequest&) {
       return ServerAction{httpResponse("429 Full", "Retry-After: 100\r\n")};
     });
--- a/tests/support/listener.h
+++ b/tests/support/listener.h
@@ -73,9 +73,9 @@
 };
 
 // Its backlog is full: no connection to it comes up.
-class StuckListener {
+class FullBacklogListener {
  public:
-  StuckListener() {
+  FullBacklogListener() {
     EXPECT_EQ(0, ::listen(listener_.fd, 0));
     for (int i = 0; i < kConnectionsThatFillTheBacklog; ++i) {
       fds_.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
@@ -84,13 +84,13 @@
       (void)::connect(fds_.back(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
     }
   }
-  ~StuckListener() {
+  ~FullBacklogListener() {
     for (const int fd : fds_) {
       ::close(fd);
     }
   }
-  StuckListener(const StuckListener&) = delete;
-  StuckListener& operator=(const StuckListener&) = delete;
+  FullBacklogListener(const FullBacklogListener&) = delete;
+  FullBacklogListener& operator=(const FullBacklogListener&) = delete;
 
   std::string address() const { return listener_.address(); }
 
