--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -50,7 +50,7 @@
 };
 
 const std::string kSubmitRequest =
-    loopback::SenderClient::request({"MSG.PUT", "0", "m", "c=order,d=8000,dest=7", "x"});
+    loopback::SenderClient::encodeRequest({"MSG.PUT", "0", "m", "c=order,d=8000,dest=7", "x"});
 
 // The table is full, so a connection waits in the kernel's queue, with what its client sends.
 TEST(ClientServer, ATimeToLiveCountsFromWhenTheMessageWasSentNotRead) {
@@ -84,7 +84,7 @@
   test.runUntil([&] { return test.submitted || test.server->connectionCount() == 0; });
   EXPECT_TRUE(test.submitted) << "closed with its request unread";
   test.runUntil([&] { return test.admission.nextDeadline() > deadline + 30'000 * kMs; });
-  EXPECT_EQ("+OK", client.line());
+  EXPECT_EQ("+OK", client.readLine());
 }
 
 // A drain starts while a complete request is in the socket: it is answered, then the connection is closed.
@@ -97,8 +97,8 @@
   test.server->startDraining();
   test.runUntil([&] { return test.server->connectionCount() == 0; });
   EXPECT_TRUE(test.submitted);
-  EXPECT_EQ("+OK", client.line());
-  EXPECT_TRUE(client.ended());
+  EXPECT_EQ("+OK", client.readLine());
+  EXPECT_TRUE(client.hasNoMoreLines());
 }
 
 // The table is full, and the eviction candidate has just sent a complete request: it is not closed for the
@@ -134,7 +134,7 @@
   test.runUntil([&] { return test.server->connectionCount() == 1; });
   test.runUntil([&] { return test.submitted || test.server->connectionCount() == 0; });
   EXPECT_TRUE(test.submitted) << "closed with its request unread";
-  EXPECT_TRUE(other.ended());
+  EXPECT_TRUE(other.hasNoMoreLines());
 }
 
 // Two requests in one write, and a drain before the answer to the first: both are answered, then it is
@@ -147,9 +147,9 @@
   test.runUntil([&] { return test.submitted.has_value(); });  // carried out, its answer on the way
   test.server->startDraining();
   test.runUntil([&] { return test.server->connectionCount() == 0; });
-  EXPECT_EQ("+OK", client.line());
-  EXPECT_EQ("+OK", client.line());
-  EXPECT_TRUE(client.ended());
+  EXPECT_EQ("+OK", client.readLine());
+  EXPECT_EQ("+OK", client.readLine());
+  EXPECT_TRUE(client.hasNoMoreLines());
 }
 
 }  // namespace
--- a/tests/network/descriptor_limit_test.cpp
+++ b/tests/network/descriptor_limit_test.cpp
@@ -37,8 +37,8 @@
   void run() {
     while (!stop_) {
       for (auto& client : all_) {
-        client->send(SenderClient::request({"PING"}));
-        client->discard();
+        client->send(SenderClient::encodeRequest({"PING"}));
+        client->discardReceived();
       }
       std::this_thread::sleep_for(20ms);
     }
@@ -66,7 +66,7 @@
   auto many = crowd(setup.program.port(), 740, "127.0.0.2");
   for (std::size_t i = 0; i < many.size(); ++i) {
     many[i]->send(
-        SenderClient::request({"MSG.PUT", "0", "x" + std::to_string(i), "c=order,d=5000,dest=7", "x"}));
+        SenderClient::encodeRequest({"MSG.PUT", "0", "x" + std::to_string(i), "c=order,d=5000,dest=7", "x"}));
   }
   SenderClient behind(setup.program.port());
   EXPECT_NE("", behind.submit("second", "order", 7));  // accepted, or rejected by a full sender
@@ -81,9 +81,9 @@
   std::thread sends([&] {
     std::string pings;
     for (int i = 0; i < 1000; ++i) {
-      pings += SenderClient::request({"PING"});
+      pings += SenderClient::encodeRequest({"PING"});
     }
-    while (!stop && greedy.sendSome(pings)) {
+    while (!stop && greedy.trySend(pings)) {
     }
     stop = true;
   });
@@ -101,11 +101,11 @@
   const std::string piece(1'000'000, 'x');
   big.send("*1\r\n$60000000\r\n");
   for (int i = 0; i < 60; ++i) {
-    if (!big.sendSome(piece)) {
+    if (!big.trySend(piece)) {
       break;
     }
   }
-  EXPECT_TRUE(big.closed());
+  EXPECT_TRUE(big.waitForClose());
   SenderClient client(setup.program.port());
   EXPECT_EQ("+OK", client.submit("fine", "order", 7));
 }
@@ -124,7 +124,7 @@
   SenderClient first(program.port());
   ASSERT_EQ("+OK", first.submit("first", "order", 7));
   ASSERT_TRUE(endpoint.waitForRequests(1));
-  program.limitDescriptors(program.openDescriptors() + 20);
+  program.limitDescriptors(program.openDescriptorCount() + 20);
   const Pingers pingers(program.port(), 60);
   SenderClient behind(program.port());
   EXPECT_EQ("+OK", behind.submit("second", "order", 7));
@@ -147,14 +147,14 @@
     ASSERT_EQ("+OK", clients.back()->submit("m" + std::to_string(i), "order", 7));
     ASSERT_TRUE(setup.endpoint.waitForRequests(static_cast<std::size_t>(i) + 1));
   }
-  EXPECT_GT(setup.program.openDescriptors(), 300u);
+  EXPECT_GT(setup.program.openDescriptorCount(), 300u);
   setup.program.reloadLimits(limits(10));
   setup.program.reloadLimits({{"sockets", "many"}});
   setup.program.reloadLimits(limits(200));
-  EXPECT_TRUE(eventually([&] { return setup.program.openDescriptors() < 150; }));
+  EXPECT_TRUE(eventually([&] { return setup.program.openDescriptorCount() < 150; }));
   SenderClient client(setup.program.port());
   EXPECT_EQ("+OK", client.submit("fine", "order", 7));
-  EXPECT_EQ("OK ready", setup.program.command("READY"));
+  EXPECT_EQ("OK ready", setup.program.sendCommand("READY"));
 }
 
 TEST(ConnectionsProgram, LimitsThatCannotHoldTheReservesStopAStart) {
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -463,7 +463,7 @@
   pool.endpoints.startCall(pool.message("second"), 0, "e", within(60'000'000));
   pool.endpoints.onEndpointDraining("e");
   EXPECT_EQ(AttemptResult::not_sent, pool.waitFor(2).result);
-  EXPECT_TRUE(loopback::eventually([&] { return server.closedByPeer() == 1; }));
+  EXPECT_TRUE(loopback::eventually([&] { return server.connectionsClosedByPeer() == 1; }));
   EXPECT_EQ(1u, server.requests().size());
 }
 
--- a/tests/process/control_test.cpp
+++ b/tests/process/control_test.cpp
@@ -8,11 +8,11 @@
 
 TEST(ControlAddress, ReadyTellsWhetherTheProgramServes) {
   SenderSetup setup(respondOk);
-  EXPECT_EQ("OK ready", setup.program.command("READY"));
+  EXPECT_EQ("OK ready", setup.program.sendCommand("READY"));
   SenderClient crlf(setup.program.controlPort());
   crlf.send("READY\r\n");
-  EXPECT_EQ("OK ready", crlf.line("\n"));
-  EXPECT_TRUE(crlf.closed());
+  EXPECT_EQ("OK ready", crlf.readLine("\n"));
+  EXPECT_TRUE(crlf.waitForClose());
 }
 
 // Destinations are known from the endpoint list alone: without one each message would be rejected.
@@ -21,25 +21,25 @@
   HttpServer endpoint(respondOk);
   DiscoveryServer discovery;
   SenderProgram program(folder.path(), discovery.address(), json::array());
-  EXPECT_EQ(0u, program.command("READY").find("ERR"));
+  EXPECT_EQ(0u, program.sendCommand("READY").find("ERR"));
   ASSERT_TRUE(discovery.waitForWatch(1));
   discovery.publish(json::array({endpointEntry("e1", endpoint.address(), 7)}));
-  EXPECT_TRUE(eventually([&] { return program.command("READY") == "OK ready"; }));
+  EXPECT_TRUE(eventually([&] { return program.sendCommand("READY") == "OK ready"; }));
 }
 
 TEST(ControlAddress, RejectsInvalidCommandsAndClosesStalledConnections) {
   SenderSetup setup(respondOk);
-  EXPECT_EQ(0u, setup.program.command("SHUTDOWN").find("ERR"));
-  EXPECT_EQ(0u, setup.program.command("").find("ERR"));
-  EXPECT_EQ(0u, setup.program.command("READY now").find("ERR"));
+  EXPECT_EQ(0u, setup.program.sendCommand("SHUTDOWN").find("ERR"));
+  EXPECT_EQ(0u, setup.program.sendCommand("").find("ERR"));
+  EXPECT_EQ(0u, setup.program.sendCommand("READY now").find("ERR"));
   SenderClient overlong(setup.program.controlPort());
   overlong.send(std::string(100'000, 'R'));
-  EXPECT_EQ(0u, overlong.line("\n").find("ERR"));
+  EXPECT_EQ(0u, overlong.readLine("\n").find("ERR"));
   SenderClient half(setup.program.controlPort()), silent(setup.program.controlPort());
   half.send("REA");
-  EXPECT_TRUE(half.closed());
-  EXPECT_TRUE(silent.closed());
-  EXPECT_EQ("OK ready", setup.program.command("READY"));
+  EXPECT_TRUE(half.waitForClose());
+  EXPECT_TRUE(silent.waitForClose());
+  EXPECT_EQ("OK ready", setup.program.sendCommand("READY"));
 }
 
 // More callers stall than there are descriptors for, and clients fill their own table: operators are
@@ -55,7 +55,7 @@
     crowd.push_back(std::make_unique<SenderClient>(setup.program.controlPort()));
     crowd.back()->send("REA");
   }
-  EXPECT_EQ("OK ready", setup.program.command("READY"));
+  EXPECT_EQ("OK ready", setup.program.sendCommand("READY"));
 }
 
 // While draining, PING fails and connections are closed between requests, after their answers; accepted
@@ -68,20 +68,20 @@
   SenderClient idle(setup.program.port()), in_a_request(setup.program.port());
   ASSERT_EQ("+OK", idle.submit("held", "notice", 7));
   const std::string put_request =
-      SenderClient::request({"MSG.PUT", "0", "cut", "c=notice,d=28000,k=kcut,dest=7", "body"});
+      SenderClient::encodeRequest({"MSG.PUT", "0", "cut", "c=notice,d=28000,k=kcut,dest=7", "body"});
   in_a_request.send(put_request.substr(0, 20));
   ASSERT_TRUE(setup.endpoint.waitForRequests(1));
-  EXPECT_EQ(0u, setup.program.command("DRAIN").find("OK"));
-  EXPECT_EQ(0u, setup.program.command("READY").find("ERR"));
-  EXPECT_TRUE(idle.closed());
+  EXPECT_EQ(0u, setup.program.sendCommand("DRAIN").find("OK"));
+  EXPECT_EQ(0u, setup.program.sendCommand("READY").find("ERR"));
+  EXPECT_TRUE(idle.waitForClose());
   in_a_request.send(put_request.substr(20));
-  EXPECT_EQ("+OK", in_a_request.line());
-  EXPECT_TRUE(in_a_request.ended());
+  EXPECT_EQ("+OK", in_a_request.readLine());
+  EXPECT_TRUE(in_a_request.hasNoMoreLines());
   SenderClient late(setup.program.port()), silent(setup.program.port());
-  EXPECT_EQ(0u, late.ask({"PING"}).find("-ERR"));
-  EXPECT_TRUE(late.ended());
-  EXPECT_TRUE(silent.closed());
-  EXPECT_EQ(0u, setup.program.command("DRAIN").find("OK"));  // once more changes nothing
+  EXPECT_EQ(0u, late.sendRequest({"PING"}).find("-ERR"));
+  EXPECT_TRUE(late.hasNoMoreLines());
+  EXPECT_TRUE(silent.waitForClose());
+  EXPECT_EQ(0u, setup.program.sendCommand("DRAIN").find("OK"));  // once more changes nothing
   full = false;
   EXPECT_TRUE(eventually([&] {
     std::set<std::string> ids;
@@ -90,10 +90,10 @@
     }
     return ids == std::set<std::string>{"held", "cut"};
   }));
-  EXPECT_EQ(0u, setup.program.command("UNDRAIN").find("OK"));
-  EXPECT_EQ("OK ready", setup.program.command("READY"));
+  EXPECT_EQ(0u, setup.program.sendCommand("UNDRAIN").find("OK"));
+  EXPECT_EQ("OK ready", setup.program.sendCommand("READY"));
   SenderClient back(setup.program.port());
-  EXPECT_EQ("+PONG", back.ask({"PING"}));
+  EXPECT_EQ("+PONG", back.sendRequest({"PING"}));
   EXPECT_EQ("+OK", back.submit("after", "notice", 7));
 }
 
--- a/tests/process/handover_compatibility_test.cpp
+++ b/tests/process/handover_compatibility_test.cpp
@@ -90,7 +90,7 @@
         << line;
   }
   // The next line; empty: the other side has closed the connection, or sends nothing.
-  std::string line() {
+  std::string readLine() {
     for (;;) {
       const auto end = received_.find('\n');
       if (end != std::string::npos) {
@@ -247,7 +247,7 @@
     }
     lock.release();
     do {
-      successor_lines.push_back(json::parse(link->line(), nullptr, false));
+      successor_lines.push_back(json::parse(link->readLine(), nullptr, false));
     } while (successor_lines.back().is_object() && isAbsent(successor_lines.back(), "serving"));
     if (!early) {
       for (std::size_t i = 1; i < lines.size(); ++i) {
@@ -262,7 +262,7 @@
   if (!early) {
     EXPECT_EQ(1u, successor_lines.size());
   }
-  EXPECT_EQ("OK ready", successor.command("READY"));
+  EXPECT_EQ("OK ready", successor.sendCommand("READY"));
 
   // A Retry-After holds for the predecessor's calls, too, and is reported to it.
   std::set<std::pair<std::string, std::int64_t>> expected_holds, reported_holds;
@@ -295,7 +295,7 @@
   }
   while (!std::includes(reported_holds.begin(), reported_holds.end(), expected_holds.begin(),
                         expected_holds.end())) {
-    const std::string line = link->line();
+    const std::string line = link->readLine();
     ASSERT_FALSE(line.empty()) << "a Retry-After is not reported to the predecessor";
     note_hold(json::parse(line));
   }
@@ -344,7 +344,7 @@
   EXPECT_TRUE(eventually(journal_is_complete)) << openIn(folder.path()).size() << " messages open";
 
   link->close();  // the predecessor exits
-  EXPECT_EQ("OK ready", successor.command("READY"));
+  EXPECT_EQ("OK ready", successor.sendCommand("READY"));
   EXPECT_EQ(retried, sent_ids());
   EXPECT_EQ(abandoned.size(), discovery.noticeCount()) << discovery.allNotices();
 }
@@ -438,7 +438,7 @@
 
   UnixSocket link;
   ASSERT_TRUE(link.connect(folder.path() + "-tmp/handover"));
-  const json release = json::parse(link.line(), nullptr, false);
+  const json release = json::parse(link.readLine(), nullptr, false);
   OwnershipLock lock(folder.path());
   EXPECT_TRUE(eventually([&] { return lock.tryAcquire(); }));
   link.send(lines.front());  // `serving`
@@ -465,7 +465,7 @@
   // Reads outcomes until one of this message; without an id, one outcome of any.
   const auto receive_outcome = [&](const std::string& id) {
     for (;;) {
-      const std::string line = link.line();
+      const std::string line = link.readLine();
       json parsed = json::parse(line, nullptr, false);
       if (!parsed.is_object() || isAbsent(parsed, "outcome")) {
         ADD_FAILURE() << "no outcome of " << id << ": " << line;
@@ -518,7 +518,7 @@
   EXPECT_EQ(json(expected).dump(1), json(received).dump(1));
   const int status = predecessor.wait();  // it exits as it has nothing left to do
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
-  EXPECT_EQ("", link.line());
+  EXPECT_EQ("", link.readLine());
 }
 
 }  // namespace
--- a/tests/process/sender_test.cpp
+++ b/tests/process/sender_test.cpp
@@ -36,7 +36,7 @@
                         json::array({endpointEntry("e1", endpoint.address(), 7)}), 3, settings);
   SenderClient client(program.port());
   auto submit = [&](const std::string& id, const std::string& tenant) {
-    return client.ask({"MSG.PUT", "0", id, "c=payment,t=" + tenant + ",d=28000,dest=7", "body"});
+    return client.sendRequest({"MSG.PUT", "0", id, "c=payment,t=" + tenant + ",d=28000,dest=7", "body"});
   };
   ASSERT_EQ("+OK", submit("first", "beyond"));
   ASSERT_TRUE(endpoint.waitForRequests(1));  // it holds the slot, and may have run when the process is killed
@@ -56,17 +56,17 @@
   SenderClient client(setup.program.port());
   EXPECT_EQ(0u, client.submit("a", "nonsense", 7).find("-ERR"));
   EXPECT_EQ(0u, client.submit("b", "order", 99).find("-ERR"));
-  EXPECT_EQ(0u, client.ask({"MSG.PUT", "0", "id", "c=order,d=soon,dest=7", "x"}).find("-ERR"));
-  EXPECT_EQ(0u, client.ask({"MSG.PUT", "0", "i\r\nd", "c=order,d=100,dest=7", "x"}).find("-ERR"));
-  EXPECT_EQ(0u, client.ask({"MSG.PUT", "0"}).find("-ERR"));
-  EXPECT_EQ(0u, client.ask({"FLUSHALL"}).find("-ERR"));
-  EXPECT_EQ("+PONG", client.ask({"PING"}));  // the connection is still good
+  EXPECT_EQ(0u, client.sendRequest({"MSG.PUT", "0", "id", "c=order,d=soon,dest=7", "x"}).find("-ERR"));
+  EXPECT_EQ(0u, client.sendRequest({"MSG.PUT", "0", "i\r\nd", "c=order,d=100,dest=7", "x"}).find("-ERR"));
+  EXPECT_EQ(0u, client.sendRequest({"MSG.PUT", "0"}).find("-ERR"));
+  EXPECT_EQ(0u, client.sendRequest({"FLUSHALL"}).find("-ERR"));
+  EXPECT_EQ("+PONG", client.sendRequest({"PING"}));  // the connection is still good
   for (const std::string& bytes :
        {std::string("GET / HTTP/1.1\r\n\r\n"), "*1\r\n$99999999\r\n" + std::string(300'000, 'x')}) {
     SenderClient bad(setup.program.port());
     bad.send(bytes);
-    EXPECT_EQ(0u, bad.line().find("-ERR"));
-    EXPECT_TRUE(bad.ended());
+    EXPECT_EQ(0u, bad.readLine().find("-ERR"));
+    EXPECT_TRUE(bad.hasNoMoreLines());
   }
   EXPECT_EQ("+OK", client.submit("fine", "order", 7));
 }
@@ -79,9 +79,9 @@
   EXPECT_EQ("+OK", idle_client.submit("first", "order", 7));
   SenderClient silent(setup.program.port()), idle(setup.program.port()), half(setup.program.port()),
       later(setup.program.port());
-  EXPECT_EQ("+PONG", idle.ask({"PING"}));
+  EXPECT_EQ("+PONG", idle.sendRequest({"PING"}));
   half.send("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000");
-  EXPECT_EQ("+PONG", later.ask({"PING"}));
+  EXPECT_EQ("+PONG", later.sendRequest({"PING"}));
   later.send("*5\r\n$7\r\nMSG");
   std::atomic<bool> stop{false};
   SenderClient slow_sender(setup.program.port());
@@ -92,11 +92,11 @@
       std::this_thread::sleep_for(5ms);
     }
   });
-  EXPECT_TRUE(later.closed());
-  EXPECT_TRUE(silent.closed());
-  EXPECT_TRUE(idle.closed());
-  EXPECT_TRUE(half.closed());
-  EXPECT_TRUE(slow_sender.closed());
+  EXPECT_TRUE(later.waitForClose());
+  EXPECT_TRUE(silent.waitForClose());
+  EXPECT_TRUE(idle.waitForClose());
+  EXPECT_TRUE(half.waitForClose());
+  EXPECT_TRUE(slow_sender.waitForClose());
   stop = true;
   slow_bytes.join();
   EXPECT_EQ("+OK", idle_client.submit("fine", "order", 7));
@@ -109,7 +109,7 @@
   for (int i = 0; i < 800; ++i) {
     crowd.push_back(std::make_unique<SenderClient>(setup.program.port()));
     ASSERT_TRUE(crowd.back()->connected());
-    crowd.back()->send(SenderClient::request({"PING"}));
+    crowd.back()->send(SenderClient::encodeRequest({"PING"}));
   }
   SenderClient client(setup.program.port());
   EXPECT_EQ("+OK", client.submit("fine", "order", 7));
@@ -122,7 +122,8 @@
   SenderClient idle_client(setup.program.port());
   ASSERT_EQ("+OK", idle_client.submit("first", "order", 7));
   SenderClient silent(setup.program.port());
-  ASSERT_TRUE(silent.closed());  // by now the client has been idle for as long as that peer was waited for
+  ASSERT_TRUE(
+      silent.waitForClose());  // by now the client has been idle for as long as that peer was waited for
   std::vector<std::unique_ptr<SenderClient>> crowd;
   crowd.reserve(2000);
   for (int i = 0; i < 2000; ++i) {
@@ -180,7 +181,8 @@
   SenderClient client(setup.program.port());
   for (const char* d :
        {"d=0", "d=-5", "d=", "d=1.5", "d=soon", "d=99999999999999999999", "d=86400001", "x=1"}) {
-    EXPECT_EQ(0u, client.ask({"MSG.PUT", "0", "id", std::string("c=order,dest=7,") + d, "x"}).find("-ERR"))
+    EXPECT_EQ(
+        0u, client.sendRequest({"MSG.PUT", "0", "id", std::string("c=order,dest=7,") + d, "x"}).find("-ERR"))
         << d;
   }
   EXPECT_EQ("+OK", client.submit("fine", "order", 7));
@@ -194,12 +196,13 @@
 TEST(SenderProgram, ARequestThatExpiresWhileItArrivesIsNotAccepted) {
   SenderSetup setup(respondOk);
   SenderClient client(setup.program.port());
-  const std::string request = SenderClient::request({"MSG.PUT", "0", "late", "c=order,d=50,dest=7", "body"});
+  const std::string request =
+      SenderClient::encodeRequest({"MSG.PUT", "0", "late", "c=order,d=50,dest=7", "body"});
   client.send(request.substr(0, 10));
-  ASSERT_EQ("OK ready", setup.program.command("READY"));  // by now the first bytes have been read
+  ASSERT_EQ("OK ready", setup.program.sendCommand("READY"));  // by now the first bytes have been read
   std::this_thread::sleep_for(60ms);
   client.send(request.substr(10));
-  const std::string reply = client.line();
+  const std::string reply = client.readLine();
   EXPECT_TRUE(reply.rfind('-', 0) == 0) << reply;
   EXPECT_EQ("+OK", client.submit("fine", "order", 7));
   ASSERT_TRUE(setup.endpoint.waitForRequests(1));
@@ -378,7 +381,7 @@
   TempFolder folder;
   SenderProgram program(folder.path(), rejecting.address(),
                         json::array({endpointEntry("e1", endpoint.address(), 7)}));
-  EXPECT_EQ("OK ready", program.command("READY"));
+  EXPECT_EQ("OK ready", program.sendCommand("READY"));
   SenderClient client(program.port());
   ASSERT_EQ("+OK", client.submit("m", "notice", 7));
   ASSERT_TRUE(endpoint.waitForRequests(1));
@@ -650,7 +653,7 @@
   ASSERT_EQ("+OK", client.submit("m", "payment", 7));
   ASSERT_TRUE(endpoint.waitForRequests(1));
   program.signal(SIGTERM);
-  EXPECT_TRUE(client.ended());
+  EXPECT_TRUE(client.hasNoMoreLines());
   const int status = program.wait();
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   EXPECT_EQ(1u, silent.requests().size());
@@ -722,10 +725,10 @@
   });
   wait_for_asked(20);
   SenderClient idle(setup.program.port());
-  ASSERT_EQ("+PONG", idle.ask({"PING"}));
+  ASSERT_EQ("+PONG", idle.sendRequest({"PING"}));
   setup.program.signal(SIGTERM);
-  EXPECT_TRUE(idle.ended());  // an idle connection is closed between requests
-  wait_for_asked(5);          // late ones are served
+  EXPECT_TRUE(idle.hasNoMoreLines());  // an idle connection is closed between requests
+  wait_for_asked(5);                   // late ones are served
   {
     std::lock_guard<std::mutex> lock(mutex);
     stop = true;
--- a/tests/process/upgrade_test.cpp
+++ b/tests/process/upgrade_test.cpp
@@ -132,9 +132,9 @@
   ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("out", "payment", 7));
   ASSERT_TRUE(upgrade.endpoint.waitForRequests(1));
   auto successor = upgrade.start();
-  EXPECT_EQ("OK ready", successor->command("READY"));
-  EXPECT_EQ(0u, predecessor->command("READY").find("ERR"));
-  EXPECT_EQ(0u, predecessor->command("DRAIN").find("ERR"));
+  EXPECT_EQ("OK ready", successor->sendCommand("READY"));
+  EXPECT_EQ(0u, predecessor->sendCommand("READY").find("ERR"));
+  EXPECT_EQ(0u, predecessor->sendCommand("DRAIN").find("ERR"));
   upgrade.allowAnswers();
   EXPECT_TRUE(exitedWithSuccess(*predecessor));
   successor->kill();  // the outcomes are in its journal
@@ -173,7 +173,7 @@
   ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("of-the-next", "payment", 7));
   ASSERT_TRUE(upgrade.endpoint.waitForRequests(2));  // it may have run
   successor->kill();
-  EXPECT_TRUE(eventually([&] { return predecessor->command("READY") == "OK ready"; }));
+  EXPECT_TRUE(eventually([&] { return predecessor->sendCommand("READY") == "OK ready"; }));
   ASSERT_TRUE(upgrade.discovery.waitForNotice("of-the-next"));
   upgrade.allowAnswers();
   ASSERT_EQ("+OK", SenderClient(upgrade.passed.port).submit("after", "payment", 7));
@@ -263,7 +263,7 @@
     ASSERT_TRUE(discovery.waitForWatch(1));
     ASSERT_EQ("+OK", SenderClient(passed.port).submit("old", "notice", 7, "x", 100000));
     SenderProgram successor(folder.path(), discovery.address(), known, 3, settings, &passed);
-    ASSERT_TRUE(eventually([&] { return successor.command("READY") == "OK ready"; }));
+    ASSERT_TRUE(eventually([&] { return successor.sendCommand("READY") == "OK ready"; }));
     if (drain) {
       discovery.publish(json::array({endpointEntry("stuck", stuck.address(), 7, "Terminating")}));
     } else {
@@ -318,11 +318,11 @@
     const int fd = connectTo(upgrade.folder.path() + "-tmp/handover");
     ASSERT_GE(fd, 0);
     (void)!::send(fd, says.data(), says.size(), MSG_NOSIGNAL);
-    EXPECT_TRUE(eventually([&] { return predecessor->command("READY") != "OK ready"; }));
+    EXPECT_TRUE(eventually([&] { return predecessor->sendCommand("READY") != "OK ready"; }));
     if (!says.empty()) {
       ::close(fd);  // the silent one stays
     }
-    EXPECT_TRUE(eventually([&] { return predecessor->command("READY") == "OK ready"; }));
+    EXPECT_TRUE(eventually([&] { return predecessor->sendCommand("READY") == "OK ready"; }));
     ASSERT_EQ("+OK",
               SenderClient(upgrade.passed.port).submit("m" + std::to_string(says.size()), "notice", 7));
     if (says.empty()) {
--- a/tests/support/http_server.h
+++ b/tests/support/http_server.h
@@ -82,7 +82,7 @@
     std::unique_lock<std::mutex> lock(mutex_);
     return changed_.wait_for(lock, kWaitLimit, [&] { return requests_.size() >= count; });
   }
-  std::size_t closedByPeer() const { return closed_by_peer_; }  // connections
+  std::size_t connectionsClosedByPeer() const { return closed_by_peer_; }  // connections
 
  private:
   static bool readable(int fd) {
--- a/tests/support/sender_client.h
+++ b/tests/support/sender_client.h
@@ -39,7 +39,7 @@
   bool connected() const { return connected_; }
 
   // False: the peer takes no more, as it has closed the connection.
-  bool sendSome(const std::string& bytes) {
+  bool trySend(const std::string& bytes) {
     for (std::size_t sent = 0; sent < bytes.size();) {
       const ssize_t size = ::send(fd_, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
       if (size <= 0) {
@@ -49,17 +49,17 @@
     }
     return true;
   }
-  void send(const std::string& bytes) { sendSome(bytes); }
+  void send(const std::string& bytes) { trySend(bytes); }
 
   // Reads and drops what has arrived so far.
-  void discard() {
+  void discardReceived() {
     char piece[1024];
     while (::recv(fd_, piece, sizeof piece, MSG_DONTWAIT) > 0) {
     }
   }
 
   // One line without its end; empty if the connection ended first.
-  std::string line(const std::string& end_mark = "\r\n") {
+  std::string readLine(const std::string& end_mark = "\r\n") {
     for (;;) {
       const auto end = received_.find(end_mark);
       if (end != std::string::npos) {
@@ -78,10 +78,10 @@
       received_.append(piece, static_cast<std::size_t>(size));
     }
   }
-  bool ended() { return line().empty(); }
+  bool hasNoMoreLines() { return readLine().empty(); }
 
   // The peer closes the connection, rather than just sending nothing for long.
-  bool closed() {
+  bool waitForClose() {
     char piece[1024];
     while (waitUntilReadable()) {
       if (::recv(fd_, piece, sizeof piece, 0) <= 0) {
@@ -92,7 +92,7 @@
   }
 
   // A RESP request.
-  static std::string request(const std::vector<std::string>& arguments) {
+  static std::string encodeRequest(const std::vector<std::string>& arguments) {
     std::string bytes = "*" + std::to_string(arguments.size()) + "\r\n";
     for (const auto& argument : arguments) {
       bytes += "$" + std::to_string(argument.size()) + "\r\n" + argument + "\r\n";
@@ -100,21 +100,21 @@
     return bytes;
   }
   // Sends a request and waits for the reply.
-  std::string ask(const std::vector<std::string>& arguments) {
-    send(request(arguments));
-    return line();
+  std::string sendRequest(const std::vector<std::string>& arguments) {
+    send(encodeRequest(arguments));
+    return readLine();
   }
   // Submits a message and waits for the reply.
   std::string submit(const std::string& id, const std::string& message_class, int destination,
                      const std::string& body = "body", int time_to_live_ms = 28000) {
     const std::string fields = "c=" + message_class + ",d=" + std::to_string(time_to_live_ms) + ",k=k" + id +
                                ",dest=" + std::to_string(destination);
-    return ask({"MSG.PUT", "0000000000000000", id, fields, body});
+    return sendRequest({"MSG.PUT", "0000000000000000", id, fields, body});
   }
   // Sends a line to the control port and waits for the reply.
-  std::string command(const std::string& text) {
+  std::string sendCommand(const std::string& text) {
     send(text + "\n");
-    return line("\n");
+    return readLine("\n");
   }
 
  private:
--- a/tests/support/sender_program.h
+++ b/tests/support/sender_program.h
@@ -119,12 +119,12 @@
     pid_ = spawn(configPath(), state_, passed_ ? passed_->fd : -1);
     // Its own address first: a socket that is passed on may still be served by another process.
     EXPECT_TRUE(eventually([this] {
-      const std::string reply = command("READY");
+      const std::string reply = sendCommand("READY");
       return reply == "OK ready" || reply == "ERR no list of endpoints yet";
     })) << "the program does not get ready";
     EXPECT_TRUE(eventually([this] {
       SenderClient client(port_);
-      return client.connected() && client.ask({"PING"}) == "+PONG";
+      return client.connected() && client.sendRequest({"PING"}) == "+PONG";
     })) << "the program does not answer PING";
   }
 
@@ -168,9 +168,9 @@
   pid_t pid() const { return pid_; }
   int port() const { return port_; }
   int controlPort() const { return control_port_->port(); }
-  std::string command(const std::string& text) { return SenderClient(controlPort()).command(text); }
+  std::string sendCommand(const std::string& text) { return SenderClient(controlPort()).sendCommand(text); }
 
-  std::size_t openDescriptors() const {
+  std::size_t openDescriptorCount() const {
     const std::filesystem::directory_iterator all("/proc/" + std::to_string(pid_) + "/fd");
     return static_cast<std::size_t>(std::distance(begin(all), end(all)));
   }
