--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -14,14 +14,14 @@
   settings.max_messages = 10;
   settings.classes[1].priority_weight = 4;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1)});
+  driver.updateEndpoints({makeEndpoint("e1", 1)});
   for (int i = 0; i < 4; ++i) {
-    driver.arrive("cheap" + std::to_string(i), "safe", 1);
+    driver.submit("cheap" + std::to_string(i), "idempotent", 1);
   }
   std::vector<std::string> refused;
   for (int i = 0; i < 8; ++i) {
-    driver.arrive("dear" + std::to_string(i), "keyed", 1);
-    for (const auto& x : driver.got<Reject>()) {
+    driver.submit("dear" + std::to_string(i), "with_key", 1);
+    for (const auto& x : driver.actionsOfType<Reject>()) {
       refused.push_back(x.id);
     }
   }
@@ -33,13 +33,13 @@
 
 TEST(Admission, ExpiredMessageIsAnsweredAndNeverSent) {
   SchedulerDriver driver;
-  driver.list({makeEndpoint("e1", 1)});
-  driver.at(kSecond);
+  driver.updateEndpoints({makeEndpoint("e1", 1)});
+  driver.advanceTo(kSecond);
   for (const Micros left : {-5 * kSecond, Micros{0}, 3 * kMillisecond}) {
-    Arrival a = driver.arrival("m" + std::to_string(left), "safe", 1);
+    Arrival a = driver.makeArrival("m" + std::to_string(left), "idempotent", 1);
     a.deadline = Deadline::after(driver.now, left);
-    EXPECT_TRUE(driver.run({a}).empty());
-    EXPECT_EQ(driver.got<Fail>().size() + driver.got<Reject>().size(), 1u) << left;
+    EXPECT_TRUE(driver.decide({a}).empty());
+    EXPECT_EQ(driver.actionsOfType<Fail>().size() + driver.actionsOfType<Reject>().size(), 1u) << left;
   }
 }
 
@@ -51,41 +51,43 @@
   settings.retry_after_supported = true;
   settings.max_retry_after = 30 * kSecond;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
-  Arrival brief = driver.arrival("brief", "safe", 1), lasting = driver.arrival("lasting", "safe", 1);
-  Arrival elsewhere = driver.arrival("elsewhere", "safe", 2);
+  driver.updateEndpoints({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
+  Arrival brief = driver.makeArrival("brief", "idempotent", 1),
+          lasting = driver.makeArrival("lasting", "idempotent", 1);
+  Arrival elsewhere = driver.makeArrival("elsewhere", "idempotent", 2);
   brief.deadline = elsewhere.deadline = Deadline::after(driver.now, 5 * kSecond);
   lasting.deadline = Deadline::after(driver.now, 20 * kSecond);
-  driver.arrive("first", "safe", 1);
-  EXPECT_TRUE(driver.run({brief, lasting, elsewhere}).empty());
-  driver.at(kSecond).end("first", 0, AttemptResult::throttled, 100 * kMillisecond, 8 * kSecond);
-  ASSERT_EQ(driver.got<Reject>().size(), 1u);
-  EXPECT_EQ(driver.got<Reject>()[0].id, "brief");
-  EXPECT_GE(driver.got<Reject>()[0].retry_after, 8 * kSecond);
-  EXPECT_TRUE(driver.got<Fail>().empty());
+  driver.submit("first", "idempotent", 1);
+  EXPECT_TRUE(driver.decide({brief, lasting, elsewhere}).empty());
+  driver.advanceTo(kSecond).reportOutcome("first", 0, AttemptResult::throttled, 100 * kMillisecond,
+                                          8 * kSecond);
+  ASSERT_EQ(driver.actionsOfType<Reject>().size(), 1u);
+  EXPECT_EQ(driver.actionsOfType<Reject>()[0].id, "brief");
+  EXPECT_GE(driver.actionsOfType<Reject>()[0].retry_after, 8 * kSecond);
+  EXPECT_TRUE(driver.actionsOfType<Fail>().empty());
   brief.id = "behind";  // one that arrives meanwhile, too
-  driver.run({brief});
-  ASSERT_EQ(driver.got<Reject>().size(), 1u);
-  EXPECT_EQ(driver.got<Reject>()[0].id, "behind");
+  driver.decide({brief});
+  ASSERT_EQ(driver.actionsOfType<Reject>().size(), 1u);
+  EXPECT_EQ(driver.actionsOfType<Reject>()[0].id, "behind");
 }
 
 TEST(Admission, AbandonedMessageIsNeitherSentNorAnsweredAndItsLateOutcomeIsIgnored) {
   Settings settings = makeSettings();
   settings.call_slots = 1;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1)});
-  driver.run(
-      {driver.arrival("a", "safe", 1), driver.arrival("b", "safe", 1), driver.arrival("c", "safe", 1)});
-  driver.run({Abandoned{"a"}, Abandoned{"b"}, Abandoned{"b"}, Abandoned{"never seen"}});
-  EXPECT_TRUE(driver.actions.empty() || driver.got<SendAttempt>().empty());
-  AttemptOutcome late = driver.outcome("a", 0, AttemptResult::timeout);
+  driver.updateEndpoints({makeEndpoint("e1", 1)});
+  driver.decide({driver.makeArrival("a", "idempotent", 1), driver.makeArrival("b", "idempotent", 1),
+                 driver.makeArrival("c", "idempotent", 1)});
+  driver.decide({Abandoned{"a"}, Abandoned{"b"}, Abandoned{"b"}, Abandoned{"never seen"}});
+  EXPECT_TRUE(driver.actions.empty() || driver.actionsOfType<SendAttempt>().empty());
+  AttemptOutcome late = driver.makeOutcome("a", 0, AttemptResult::timeout);
   late.finished = true;
   // After a stall all events arrive at once, some twice and some for messages that ended long ago.
-  EXPECT_EQ(driver.at(3 * kSecond)
-                .run({late, late, Abandoned{"a"}, TimerFired{}, TimerFired{},
-                      driver.outcome("b", 0, AttemptResult::ok)}),
+  EXPECT_EQ(driver.advanceTo(3 * kSecond)
+                .decide({late, late, Abandoned{"a"}, TimerFired{}, TimerFired{},
+                         driver.makeOutcome("b", 0, AttemptResult::ok)}),
             Ids{"c"});
-  EXPECT_EQ(driver.got<Fail>().size() + driver.got<Reject>().size(), 0u);
+  EXPECT_EQ(driver.actionsOfType<Fail>().size() + driver.actionsOfType<Reject>().size(), 0u);
 }
 
 // debrecen-kelet-later big-2: busy senders queued four seconds of messages for their few slots, and each was
@@ -103,20 +105,21 @@
     for (int d = 0; d < 50; ++d) {
       all.emplace_back(makeEndpoint("e" + std::to_string(d), d));
     }
-    driver.list(all);
+    driver.updateEndpoints(all);
     for (int i = 0; i < 8; ++i) {
       const std::string id = "w" + std::to_string(i);
-      driver.at(driver.now + kSecond).arrive(id, "safe", i);
-      driver.at(driver.now + 500 * kMillisecond).end(id, 0, AttemptResult::ok, 500 * kMillisecond);
+      driver.advanceTo(driver.now + kSecond).submit(id, "idempotent", i);
+      driver.advanceTo(driver.now + 500 * kMillisecond)
+          .reportOutcome(id, 0, AttemptResult::ok, 500 * kMillisecond);
     }
     std::vector<Event> heap;
     for (int i = 0; i < 40; ++i) {
       if (busy || i < 4) {
-        heap.emplace_back(driver.arrival("m" + std::to_string(i), "safe", i));
+        heap.emplace_back(driver.makeArrival("m" + std::to_string(i), "idempotent", i));
       }
     }
-    driver.run(heap);
-    return driver.got<Reject>().size();
+    driver.decide(heap);
+    return driver.actionsOfType<Reject>().size();
   };
   EXPECT_GE(refused(200, true), 20u);  // 36 queued messages would take 4.5 s, the latency objective is 2 s
   EXPECT_LE(refused(200, true), 34u);
@@ -132,20 +135,21 @@
   settings.max_messages = 10;
   settings.classes[1].priority_weight = 4;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1)});
+  driver.updateEndpoints({makeEndpoint("e1", 1)});
   for (int i = 0; i < 9; ++i) {
-    driver.at(driver.now + 400 * kMillisecond).arrive("taken" + std::to_string(i), "safe", 1);
+    driver.advanceTo(driver.now + 400 * kMillisecond).submit("taken" + std::to_string(i), "idempotent", 1);
   }
-  ASSERT_EQ(driver.got<Reject>().size(), 0u);  // one of them is in flight, and all others wait for it
+  ASSERT_EQ(driver.actionsOfType<Reject>().size(),
+            0u);  // one of them is in flight, and all others wait for it
   for (int i = 0; i < 4; ++i) {
     const std::string id = "new" + std::to_string(i);
-    driver.arrive(id, "safe", 1);
-    ASSERT_EQ(driver.got<Reject>().size(), 1u);
-    EXPECT_EQ(driver.got<Reject>()[0].id, id);
+    driver.submit(id, "idempotent", 1);
+    ASSERT_EQ(driver.actionsOfType<Reject>().size(), 1u);
+    EXPECT_EQ(driver.actionsOfType<Reject>()[0].id, id);
   }
-  driver.arrive("dear", "keyed", 1);
-  ASSERT_EQ(driver.got<Reject>().size(), 1u);
-  EXPECT_EQ(driver.got<Reject>()[0].id.substr(0, 5), "taken");
+  driver.submit("dear", "with_key", 1);
+  ASSERT_EQ(driver.actionsOfType<Reject>().size(), 1u);
+  EXPECT_EQ(driver.actionsOfType<Reject>()[0].id.substr(0, 5), "taken");
 }
 
 // One of many senders with all slots busy rejects new messages that would be late, and keeps accepted ones
@@ -161,36 +165,37 @@
   for (int d = 0; d < 50; ++d) {
     all.emplace_back(makeEndpoint("e" + std::to_string(d), d));
   }
-  driver.list(all);
+  driver.updateEndpoints(all);
   for (int i = 0; i < 8; ++i) {
     const std::string id = "w" + std::to_string(i);
-    driver.at(driver.now + kSecond).arrive(id, "safe", i);
-    driver.at(driver.now + 500 * kMillisecond).end(id, 0, AttemptResult::ok, 500 * kMillisecond);
+    driver.advanceTo(driver.now + kSecond).submit(id, "idempotent", i);
+    driver.advanceTo(driver.now + 500 * kMillisecond)
+        .reportOutcome(id, 0, AttemptResult::ok, 500 * kMillisecond);
   }
   for (int i = 0; i < 4; ++i) {
-    driver.arrive("out" + std::to_string(i), "safe", i);
+    driver.submit("out" + std::to_string(i), "idempotent", i);
   }
   for (int i = 4; i < 12; ++i) {
-    driver.arrive("taken" + std::to_string(i), "safe", i);
+    driver.submit("taken" + std::to_string(i), "idempotent", i);
   }
-  ASSERT_EQ(driver.got<Reject>().size(), 0u);  // so far the wait for a slot is short
+  ASSERT_EQ(driver.actionsOfType<Reject>().size(), 0u);  // so far the wait for a slot is short
   const Micros deadline = driver.settings.classes[0].deadline, from = driver.now;
   std::vector<std::string> refused;
   const auto take = [&] {
-    for (const Reject& x : driver.got<Reject>()) {
+    for (const Reject& x : driver.actionsOfType<Reject>()) {
       refused.push_back(x.id);
     }
   };
   std::vector<Event> heap;
   heap.reserve(32);
   for (int i = 12; i < 44; ++i) {
-    heap.emplace_back(driver.arrival("new" + std::to_string(i), "safe", i));
+    heap.emplace_back(driver.makeArrival("new" + std::to_string(i), "idempotent", i));
   }
-  driver.run(heap);
+  driver.decide(heap);
   take();
   EXPECT_GE(refused.size(), 16u);
   while (driver.now < from + deadline / 2) {
-    driver.at(driver.now + 100 * kMillisecond).wake();
+    driver.advanceTo(driver.now + 100 * kMillisecond).fireTimer();
     take();
   }
   for (const std::string& id : refused) {
--- a/tests/decision/attempts_test.cpp
+++ b/tests/decision/attempts_test.cpp
@@ -11,20 +11,20 @@
 
 TEST(Attempts, NonIdempotentMessageThatMayHaveRunIsNeitherSentAgainNorRejected) {
   SchedulerDriver driver;
-  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
-  EXPECT_EQ(driver.arrive("p", "unsafe", 1), Ids{"p"});
-  EXPECT_TRUE(driver.at(kSecond).end("p", 0, AttemptResult::reset).empty());
-  EXPECT_EQ(driver.got<Fail>().size(), 1u);
-  EXPECT_TRUE(driver.got<Reject>().empty());
+  driver.updateEndpoints({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
+  EXPECT_EQ(driver.submit("p", "non_idempotent", 1), Ids{"p"});
+  EXPECT_TRUE(driver.advanceTo(kSecond).reportOutcome("p", 0, AttemptResult::reset).empty());
+  EXPECT_EQ(driver.actionsOfType<Fail>().size(), 1u);
+  EXPECT_TRUE(driver.actionsOfType<Reject>().empty());
 }
 
 TEST(Attempts, NonIdempotentMessageThatHasNotRunIsSentAgain) {
   SchedulerDriver driver;
-  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
-  driver.arrive("p", "unsafe", 1);
-  Ids sent = driver.at(kSecond).end("p", 0, AttemptResult::connect_failed);
+  driver.updateEndpoints({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
+  driver.submit("p", "non_idempotent", 1);
+  Ids sent = driver.advanceTo(kSecond).reportOutcome("p", 0, AttemptResult::connect_failed);
   for (int i = 1; i < 40 && sent.empty(); ++i) {
-    sent = driver.at(kSecond + 100 * kMillisecond * i).wake();
+    sent = driver.advanceTo(kSecond + 100 * kMillisecond * i).fireTimer();
   }
   EXPECT_EQ(sent, Ids{"p"});
 }
@@ -33,17 +33,17 @@
   Settings settings = makeSettings();
   settings.call_slots = 1;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1, "batch")});  // three messages per call
+  driver.updateEndpoints({makeEndpoint("e1", 1, "batch")});  // three messages per call
   std::vector<Event> all;
   all.reserve(4);
   for (int i = 0; i < 4; ++i) {
-    all.emplace_back(driver.arrival("m" + std::to_string(i), "safe", 1));
+    all.emplace_back(driver.makeArrival("m" + std::to_string(i), "idempotent", 1));
   }
-  EXPECT_EQ(driver.run(all).size(), 3u);
-  driver.at(50 * kMillisecond).end("m0", 0, AttemptResult::ok);
-  driver.end("m1", 0, AttemptResult::ok);
-  EXPECT_TRUE(driver.wake().empty());  // the slot is taken until the last has its outcome
-  EXPECT_EQ(driver.at(2 * kSecond).end("m2", 0, AttemptResult::ok), Ids{"m3"});
+  EXPECT_EQ(driver.decide(all).size(), 3u);
+  driver.advanceTo(50 * kMillisecond).reportOutcome("m0", 0, AttemptResult::ok);
+  driver.reportOutcome("m1", 0, AttemptResult::ok);
+  EXPECT_TRUE(driver.fireTimer().empty());  // the slot is taken until the last has its outcome
+  EXPECT_EQ(driver.advanceTo(2 * kSecond).reportOutcome("m2", 0, AttemptResult::ok), Ids{"m3"});
 }
 
 // big-1 of debrecen-kelet-later: all senders chose the endpoint that the list names first, and its
@@ -52,9 +52,9 @@
   std::map<std::string, int> chosen;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SchedulerDriver driver(makeSettings(), seed);
-    driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
-    driver.arrive("m", "safe", 1);
-    ++chosen[driver.sent_to["m"]];
+    driver.updateEndpoints({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
+    driver.submit("m", "idempotent", 1);
+    ++chosen[driver.last_endpoint["m"]];
   }
   EXPECT_GT(chosen["e1"], 8);
   EXPECT_GT(chosen["e2"], 8);
@@ -66,14 +66,15 @@
     Settings settings = makeSettings();
     settings.sender_count = senders;
     SchedulerDriver driver(settings);
-    driver.list({makeEndpoint("e1", 1)});
+    driver.updateEndpoints({makeEndpoint("e1", 1)});
     std::size_t n = 0;
     for (int i = 0; i < 40; ++i) {
       const std::string id = "m" + std::to_string(i);
-      driver.at(driver.now + gap).arrive(id, "safe", 1);
-      driver.at(driver.now + 50 * kMillisecond).end(id, 0, AttemptResult::ok, 50 * kMillisecond);
+      driver.advanceTo(driver.now + gap).submit(id, "idempotent", 1);
+      driver.advanceTo(driver.now + 50 * kMillisecond)
+          .reportOutcome(id, 0, AttemptResult::ok, 50 * kMillisecond);
       if (i >= 20) {
-        n += driver.got<CloseIdleConnections>().size();
+        n += driver.actionsOfType<CloseIdleConnections>().size();
       }
     }
     return n;
@@ -88,12 +89,12 @@
   Settings settings = makeSettings();
   settings.sender_count = 200;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
-  driver.arrive("m", "safe", 1);
-  driver.at(100 * kMillisecond).end("m", 0, AttemptResult::error);
+  driver.updateEndpoints({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
+  driver.submit("m", "idempotent", 1);
+  driver.advanceTo(100 * kMillisecond).reportOutcome("m", 0, AttemptResult::error);
   Ids sent;
   while (sent.empty() && driver.now < 19 * kSecond) {
-    sent = driver.at(driver.now + 50 * kMillisecond).wake();
+    sent = driver.advanceTo(driver.now + 50 * kMillisecond).fireTimer();
   }
   EXPECT_EQ(sent, Ids{"m"});
   EXPECT_GE(driver.now, 100 * kMillisecond + settings.classes[0].latency_objective);
@@ -109,13 +110,13 @@
     settings.connection_idle_timeout = 15 * kSecond;
     settings.classes[0].deadline = 100 * kSecond;
     SchedulerDriver driver(settings);
-    driver.list({makeEndpoint("e1", 1)});
+    driver.updateEndpoints({makeEndpoint("e1", 1)});
     int n = 0;
     auto call = [&](AttemptResult result) {
       const std::string id = "m" + std::to_string(n++);
-      driver.at(driver.now + 100 * kMillisecond).arrive(id, "safe", 1);
-      driver.at(driver.now + 50 * kMillisecond).end(id, 0, result, 50 * kMillisecond);
-      return driver.got<CloseIdleConnections>().empty();
+      driver.advanceTo(driver.now + 100 * kMillisecond).submit(id, "idempotent", 1);
+      driver.advanceTo(driver.now + 50 * kMillisecond).reportOutcome(id, 0, result, 50 * kMillisecond);
+      return driver.actionsOfType<CloseIdleConnections>().empty();
     };
     for (int i = 0; i < 200; ++i) {
       call(AttemptResult::ok);
@@ -124,10 +125,11 @@
     call(AttemptResult::connect_failed);
     std::vector<std::string> sent;
     while (sent.empty()) {
-      sent = driver.at(driver.now + 50 * kMillisecond).wake();
+      sent = driver.advanceTo(driver.now + 50 * kMillisecond).fireTimer();
     }
-    driver.at(driver.now + 50 * kMillisecond).end(sent[0], 1, AttemptResult::ok, 50 * kMillisecond);
-    return driver.got<CloseIdleConnections>().empty();
+    driver.advanceTo(driver.now + 50 * kMillisecond)
+        .reportOutcome(sent[0], 1, AttemptResult::ok, 50 * kMillisecond);
+    return driver.actionsOfType<CloseIdleConnections>().empty();
   };
   EXPECT_FALSE(kept_after_a_failure(200));
   EXPECT_TRUE(kept_after_a_failure(2));  // so few can't fill a table: the endpoint was down
@@ -142,12 +144,13 @@
   std::set<Micros> back;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SchedulerDriver driver(settings, seed);
-    driver.list({makeEndpoint("e1", 1)});
-    driver.arrive("m", "safe", 1);
-    driver.at(50 * kMillisecond).end("m", 0, AttemptResult::connect_failed, 50 * kMillisecond);
+    driver.updateEndpoints({makeEndpoint("e1", 1)});
+    driver.submit("m", "idempotent", 1);
+    driver.advanceTo(50 * kMillisecond)
+        .reportOutcome("m", 0, AttemptResult::connect_failed, 50 * kMillisecond);
     bool retried = false;
     while (!retried && driver.now < 19 * kSecond) {
-      retried = !driver.at(driver.now + 10 * kMillisecond).wake().empty();
+      retried = !driver.advanceTo(driver.now + 10 * kMillisecond).fireTimer().empty();
     }
     EXPECT_GE(driver.now, 2 * kSecond);  // a latency objective
     back.insert(driver.now / (500 * kMillisecond));
--- a/tests/decision/bound_test.cpp
+++ b/tests/decision/bound_test.cpp
@@ -10,14 +10,15 @@
 
 TEST(Bound, NothingIsSentBeforeRetryAfterHasPassed) {
   SchedulerDriver driver;
-  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
-  driver.arrive("m1", "safe", 1);
-  driver.at(100 * kMillisecond).end("m1", 0, AttemptResult::throttled, 10 * kMillisecond, 700 * kMillisecond);
-  EXPECT_TRUE(driver.at(200 * kMillisecond).arrive("m2", "safe", 1).empty());
-  EXPECT_TRUE(driver.at(790 * kMillisecond).wake().empty());
+  driver.updateEndpoints({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
+  driver.submit("m1", "idempotent", 1);
+  driver.advanceTo(100 * kMillisecond)
+      .reportOutcome("m1", 0, AttemptResult::throttled, 10 * kMillisecond, 700 * kMillisecond);
+  EXPECT_TRUE(driver.advanceTo(200 * kMillisecond).submit("m2", "idempotent", 1).empty());
+  EXPECT_TRUE(driver.advanceTo(790 * kMillisecond).fireTimer().empty());
   Ids later;
   for (int i = 0; i < 100; ++i) {
-    for (const auto& id : driver.at(800 * kMillisecond + 50 * kMillisecond * i).wake()) {
+    for (const auto& id : driver.advanceTo(800 * kMillisecond + 50 * kMillisecond * i).fireTimer()) {
       later.push_back(id);
     }
   }
@@ -33,25 +34,25 @@
   settings.weight_kind = WeightKind::nominal;
   settings.classes[0].deadline = 100 * kSecond;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1, "shared", 20)});  // 20 calls a second from all senders
+  driver.updateEndpoints({makeEndpoint("e1", 1, "shared", 20)});  // 20 calls a second from all senders
   for (int i = 0; i < 60; ++i) {
-    driver.arrive("m" + std::to_string(i), "safe", 1);
+    driver.submit("m" + std::to_string(i), "idempotent", 1);
   }
   std::map<std::string, int> tries;
   std::vector<Micros> sent_at;
   std::vector<std::string> out;
-  for (auto& [id, e] : driver.sent_to) {
+  for (auto& [id, e] : driver.last_endpoint) {
     out.push_back(id);
   }
   const Micros back = 8 * kSecond;
   for (Micros t = 100 * kMillisecond; t < 40 * kSecond; t += 20 * kMillisecond) {
     std::vector<Event> events{TimerFired{}};
-    driver.at(t);
+    driver.advanceTo(t);
     for (const auto& id : out) {
-      events.emplace_back(driver.outcome(
+      events.emplace_back(driver.makeOutcome(
           id, tries[id]++, t < back ? AttemptResult::connect_failed : AttemptResult::ok, 20 * kMillisecond));
     }
-    out = driver.run(events);
+    out = driver.decide(events);
     for (std::size_t i = 0; i < out.size(); ++i) {
       if (t >= back) {
         sent_at.push_back(t);
@@ -70,15 +71,15 @@
 // so many steps of 50 ms.
 std::size_t startsWhenAnswered(SchedulerDriver& driver, const std::vector<Event>& all, int steps,
                                std::map<std::string, int> tries) {
-  Ids out = driver.run(all);
+  Ids out = driver.decide(all);
   std::size_t n = out.size();
   for (int i = 0; i < steps; ++i) {
     std::vector<Event> events{TimerFired{}};
-    driver.at(driver.now + 50 * kMillisecond);
+    driver.advanceTo(driver.now + 50 * kMillisecond);
     for (const auto& id : out) {
-      events.emplace_back(driver.outcome(id, tries[id]++, AttemptResult::ok, 50 * kMillisecond));
+      events.emplace_back(driver.makeOutcome(id, tries[id]++, AttemptResult::ok, 50 * kMillisecond));
     }
-    out = driver.run(events);
+    out = driver.decide(events);
     n += out.size();
   }
   return n;
@@ -91,13 +92,14 @@
   settings.weight_kind = WeightKind::nominal;
   auto count = [&](bool refused) {
     SchedulerDriver driver(settings);
-    driver.list({makeEndpoint("e1", 1, "shared", 10)});
-    driver.arrive("x", "safe", 1);
-    driver.at(100 * kMillisecond).end("x", 0, refused ? AttemptResult::throttled : AttemptResult::ok);
+    driver.updateEndpoints({makeEndpoint("e1", 1, "shared", 10)});
+    driver.submit("x", "idempotent", 1);
+    driver.advanceTo(100 * kMillisecond)
+        .reportOutcome("x", 0, refused ? AttemptResult::throttled : AttemptResult::ok);
     std::vector<Event> all;
     all.reserve(100);
     for (int i = 0; i < 100; ++i) {
-      all.emplace_back(driver.arrival("m" + std::to_string(i), "safe", 1));
+      all.emplace_back(driver.makeArrival("m" + std::to_string(i), "idempotent", 1));
     }
     return startsWhenAnswered(driver, all, 40, {{"x", 1}});
   };
@@ -111,27 +113,27 @@
   settings.sender_count = 2;
   settings.call_slots = 50;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
+  driver.updateEndpoints({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
   std::map<std::string, int> tries;
   std::vector<std::string> out;
   std::size_t arrived = 0, served = 0;
   for (Micros t = 0; t < until + 5 * kSecond; t += 50 * kMillisecond) {
     std::vector<Event> events;
     events.reserve(out.size() + 2);
-    driver.at(t);
+    driver.advanceTo(t);
     const bool refuses = t >= from && t < until;
     for (const auto& id : out) {
       events.emplace_back(
-          driver.outcome(id, tries[id]++, refuses ? AttemptResult::throttled : AttemptResult::ok));
+          driver.makeOutcome(id, tries[id]++, refuses ? AttemptResult::throttled : AttemptResult::ok));
     }
     if (!refuses) {
       served += out.size();
     }
     if (t % (100 * kMillisecond) == 0) {
-      events.emplace_back(driver.arrival("m" + std::to_string(arrived++), "safe", 1));
+      events.emplace_back(driver.makeArrival("m" + std::to_string(arrived++), "idempotent", 1));
     }
     events.emplace_back(TimerFired{});
-    out = driver.run(events);
+    out = driver.decide(events);
   }
   return static_cast<double>(arrived - served) / 10;
 }
@@ -153,11 +155,11 @@
   settings.call_slots = 100;
   settings.weight_kind = WeightKind::nominal;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1, "shared", 4)});
+  driver.updateEndpoints({makeEndpoint("e1", 1, "shared", 4)});
   std::vector<Event> all;
   all.reserve(100);
   for (int i = 0; i < 100; ++i) {
-    all.emplace_back(driver.arrival("m" + std::to_string(i), "safe", 1));
+    all.emplace_back(driver.makeArrival("m" + std::to_string(i), "idempotent", 1));
   }
   const std::size_t n = startsWhenAnswered(driver, all, 60, {});
   EXPECT_GE(n, 12u);
@@ -172,12 +174,14 @@
   settings.sender_count = 200;
   settings.weight_kind = WeightKind::nominal;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1, "shared", 10)});
-  driver.arrive("m1", "safe", 1);
-  driver.at(kSecond).end("m1", 0, AttemptResult::timeout, kSecond);
+  driver.updateEndpoints({makeEndpoint("e1", 1, "shared", 10)});
+  driver.submit("m1", "idempotent", 1);
+  driver.advanceTo(kSecond).reportOutcome("m1", 0, AttemptResult::timeout, kSecond);
   std::size_t n = 0;
   for (int i = 0; i < 10; ++i) {
-    n += driver.at(driver.now + 200 * kMillisecond).arrive("x" + std::to_string(i), "safe", 1).size();
+    n += driver.advanceTo(driver.now + 200 * kMillisecond)
+             .submit("x" + std::to_string(i), "idempotent", 1)
+             .size();
   }
   EXPECT_LE(n, 1u);  // a trial at most
 }
@@ -189,23 +193,25 @@
   settings.sender_count = 200;
   settings.weight_kind = WeightKind::nominal;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1, "shared", 30)});
-  driver.arrive("m", "safe", 1);
-  driver.at(100 * kMillisecond).end("m", 0, AttemptResult::ok);
-  driver.at(kSecond).arrive("x", "safe", 1);
-  driver.at(kSecond + 100 * kMillisecond).end("x", 0, AttemptResult::throttled);
+  driver.updateEndpoints({makeEndpoint("e1", 1, "shared", 30)});
+  driver.submit("m", "idempotent", 1);
+  driver.advanceTo(100 * kMillisecond).reportOutcome("m", 0, AttemptResult::ok);
+  driver.advanceTo(kSecond).submit("x", "idempotent", 1);
+  driver.advanceTo(kSecond + 100 * kMillisecond).reportOutcome("x", 0, AttemptResult::throttled);
   for (int i = 0; i < 5; ++i) {
-    Arrival hasty = driver.at(driver.now + 10 * kMillisecond).arrival("hasty" + std::to_string(i), "safe", 1);
+    Arrival hasty = driver.advanceTo(driver.now + 10 * kMillisecond)
+                        .makeArrival("hasty" + std::to_string(i), "idempotent", 1);
     hasty.deadline = Deadline::after(driver.now, 165 * kMillisecond);
-    const Ids sent = driver.run({hasty});
+    const Ids sent = driver.decide({hasty});
     ASSERT_EQ(sent.size(), 1u) << i;
-    driver.at(driver.now + 50 * kMillisecond).end(sent[0], 0, AttemptResult::ok, 50 * kMillisecond);
+    driver.advanceTo(driver.now + 50 * kMillisecond)
+        .reportOutcome(sent[0], 0, AttemptResult::ok, 50 * kMillisecond);
   }
-  driver.at(driver.now + 10 * kMillisecond).arrive("patient", "safe", 1);
+  driver.advanceTo(driver.now + 10 * kMillisecond).submit("patient", "idempotent", 1);
   Ids sent;
   const Micros from = driver.now;
   while (sent.empty() && driver.now < from + 40 * kSecond) {
-    sent = driver.at(driver.now + 50 * kMillisecond).wake();
+    sent = driver.advanceTo(driver.now + 50 * kMillisecond).fireTimer();
   }
   EXPECT_LT(driver.now - from, 15 * kSecond);
 }
@@ -217,16 +223,17 @@
   settings.sender_count = 200;
   settings.weight_kind = WeightKind::nominal;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1, "shared", 10)});
-  driver.arrive("m", "safe", 1);
-  driver.at(100 * kMillisecond).end("m", 0, AttemptResult::ok);
-  driver.at(kSecond).arrive("x", "safe", 1);
-  driver.at(kSecond + 100 * kMillisecond)
-      .end("x", 0, AttemptResult::throttled);  // no Retry-After: the next calls are paced
-  driver.at(kSecond + 110 * kMillisecond);
-  Arrival patient = driver.arrival("patient", "safe", 1), hasty = driver.arrival("hasty", "safe", 1);
+  driver.updateEndpoints({makeEndpoint("e1", 1, "shared", 10)});
+  driver.submit("m", "idempotent", 1);
+  driver.advanceTo(100 * kMillisecond).reportOutcome("m", 0, AttemptResult::ok);
+  driver.advanceTo(kSecond).submit("x", "idempotent", 1);
+  driver.advanceTo(kSecond + 100 * kMillisecond)
+      .reportOutcome("x", 0, AttemptResult::throttled);  // no Retry-After: the next calls are paced
+  driver.advanceTo(kSecond + 110 * kMillisecond);
+  Arrival patient = driver.makeArrival("patient", "idempotent", 1),
+          hasty = driver.makeArrival("hasty", "idempotent", 1);
   hasty.deadline = Deadline::after(driver.now, 250 * kMillisecond);
-  EXPECT_EQ(driver.run({patient, hasty}), Ids{"hasty"});
+  EXPECT_EQ(driver.decide({patient, hasty}), Ids{"hasty"});
 }
 
 // gyor-nyugat-later big-1: the Retry-After of a closed destination ended for all senders at one moment, which
@@ -237,12 +244,13 @@
   std::vector<Micros> back;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SchedulerDriver driver(settings, seed);
-    driver.list({makeEndpoint("e1", 1)});
-    driver.arrive("m", "safe", 1);
-    driver.at(50 * kMillisecond).end("m", 0, AttemptResult::throttled, 50 * kMillisecond, 3 * kSecond);
+    driver.updateEndpoints({makeEndpoint("e1", 1)});
+    driver.submit("m", "idempotent", 1);
+    driver.advanceTo(50 * kMillisecond)
+        .reportOutcome("m", 0, AttemptResult::throttled, 50 * kMillisecond, 3 * kSecond);
     Ids sent;
     for (Micros t = 100 * kMillisecond; sent.empty() && t < 19 * kSecond; t += 50 * kMillisecond) {
-      sent = driver.at(t).wake();
+      sent = driver.advanceTo(t).fireTimer();
     }
     EXPECT_GE(driver.now, 3 * kSecond + 50 * kMillisecond);
     back.push_back(driver.now);
@@ -258,13 +266,13 @@
   settings.sender_count = 200;
   settings.weight_kind = WeightKind::nominal;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1, "shared", 10)});
-  driver.arrive("m", "safe", 1);
-  driver.at(kSecond).end("m", 0, AttemptResult::timeout, kSecond);
+  driver.updateEndpoints({makeEndpoint("e1", 1, "shared", 10)});
+  driver.submit("m", "idempotent", 1);
+  driver.advanceTo(kSecond).reportOutcome("m", 0, AttemptResult::timeout, kSecond);
   int tries = 1;
   while (driver.now < 19 * kSecond) {
-    if (!driver.at(driver.now + 50 * kMillisecond).wake().empty()) {
-      driver.end("m", tries++, AttemptResult::timeout, 50 * kMillisecond);
+    if (!driver.advanceTo(driver.now + 50 * kMillisecond).fireTimer().empty()) {
+      driver.reportOutcome("m", tries++, AttemptResult::timeout, 50 * kMillisecond);
     }
   }
   EXPECT_LE(tries, 2);
@@ -278,10 +286,10 @@
   int at_once = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SchedulerDriver driver(settings, seed);
-    driver.list({makeEndpoint("e1", 1)});
-    driver.arrive("m", "safe", 1);
-    driver.at(kSecond).end("m", 0, AttemptResult::timeout, kSecond);
-    at_once += !driver.at(kSecond + 10 * kMillisecond).arrive("next", "safe", 1).empty();
+    driver.updateEndpoints({makeEndpoint("e1", 1)});
+    driver.submit("m", "idempotent", 1);
+    driver.advanceTo(kSecond).reportOutcome("m", 0, AttemptResult::timeout, kSecond);
+    at_once += !driver.advanceTo(kSecond + 10 * kMillisecond).submit("next", "idempotent", 1).empty();
   }
   EXPECT_LE(at_once, 5);
 }
--- a/tests/decision/health_test.cpp
+++ b/tests/decision/health_test.cpp
@@ -17,14 +17,14 @@
   for (int d = 1; d <= 6; ++d) {
     all.emplace_back(makeEndpoint("e" + std::to_string(d), d));
   }
-  driver.list(all);
+  driver.updateEndpoints(all);
   Micros t = 0;
   int n = 0;
   auto call = [&](int d, AttemptResult result, Micros rtt) {
     const std::string id = "m" + std::to_string(n++);
-    driver.at(t).arrive(id, "safe", d);
-    driver.at(t + rtt).wake();  // an overdue call is noticed while it is in flight
-    driver.at(t + rtt + 1).end(id, 0, result, rtt);
+    driver.advanceTo(t).submit(id, "idempotent", d);
+    driver.advanceTo(t + rtt).fireTimer();  // an overdue call is noticed while it is in flight
+    driver.advanceTo(t + rtt + 1).reportOutcome(id, 0, result, rtt);
     t += rtt + 10 * kMillisecond;
   };
   for (int i = 0; i < 10; ++i) {
@@ -32,20 +32,21 @@
       call(d, AttemptResult::ok, 100 * kMillisecond);
     }
   }
-  EXPECT_TRUE(driver.got<CloseIdleConnections>().empty());
+  EXPECT_TRUE(driver.actionsOfType<CloseIdleConnections>().empty());
   for (int d = 1; d <= 5; ++d) {
     t += kSecond;
     call(d, AttemptResult::timeout, 900 * kMillisecond);  // lost on the reused connection
     std::vector<std::string> sent;
     while (sent.empty()) {
-      sent = driver.at(t += 50 * kMillisecond).wake();
+      sent = driver.advanceTo(t += 50 * kMillisecond).fireTimer();
     }
-    driver.at(t += 100 * kMillisecond).end(sent[0], 1, AttemptResult::ok);  // its retry, on a new one
+    driver.advanceTo(t += 100 * kMillisecond)
+        .reportOutcome(sent[0], 1, AttemptResult::ok);  // its retry, on a new one
   }
   t = driver.now + kSecond;
-  EXPECT_EQ(driver.at(t).arrive("last", "safe", 6).size(), 1u);
-  ASSERT_EQ(driver.got<CloseIdleConnections>().size(), 1u);
-  EXPECT_EQ(driver.got<CloseIdleConnections>()[0].endpoint, "e6");
+  EXPECT_EQ(driver.advanceTo(t).submit("last", "idempotent", 6).size(), 1u);
+  ASSERT_EQ(driver.actionsOfType<CloseIdleConnections>().size(), 1u);
+  EXPECT_EQ(driver.actionsOfType<CloseIdleConnections>()[0].endpoint, "e6");
 }
 
 // ticket5282: slow calls that were cancelled or timed out on connections that had just been in use were taken
@@ -59,16 +60,16 @@
   for (int d = 1; d <= 6; ++d) {
     all.emplace_back(makeEndpoint("e" + std::to_string(d), d));
   }
-  driver.list(all);
+  driver.updateEndpoints(all);
   Micros t = 0;
   int n = 0;
   std::size_t closed = 0;
   auto call = [&](int d, AttemptResult result, Micros rtt) {
     const std::string id = "m" + std::to_string(n++);
-    driver.at(t).arrive(id, "safe", d);
-    closed += driver.got<CloseIdleConnections>().size();
-    driver.at(t + rtt).wake();
-    driver.at(t + rtt + 1).end(id, 0, result, rtt);
+    driver.advanceTo(t).submit(id, "idempotent", d);
+    closed += driver.actionsOfType<CloseIdleConnections>().size();
+    driver.advanceTo(t + rtt).fireTimer();
+    driver.advanceTo(t + rtt + 1).reportOutcome(id, 0, result, rtt);
     t += rtt + 10 * kMillisecond;
   };
   for (int round = 0; round < 8; ++round) {
@@ -81,9 +82,10 @@
     call(6, AttemptResult::timeout, 900 * kMillisecond);  // on the connection used 10 ms ago
     std::vector<std::string> sent;
     while (sent.empty()) {
-      sent = driver.at(t += 50 * kMillisecond).wake();
+      sent = driver.advanceTo(t += 50 * kMillisecond).fireTimer();
     }
-    driver.at(t += 100 * kMillisecond).end(sent[0], 1, AttemptResult::ok);  // its retry, on a new one
+    driver.advanceTo(t += 100 * kMillisecond)
+        .reportOutcome(sent[0], 1, AttemptResult::ok);  // its retry, on a new one
     t += 10 * kMillisecond;
   }
   call(5, AttemptResult::ok, 100 * kMillisecond);
@@ -105,13 +107,13 @@
       all.emplace_back(makeEndpoint(e + std::to_string(d), d));
     }
   }
-  driver.list(all);
+  driver.updateEndpoints(all);
   int n = 0;
   auto call = [&](int d, AttemptResult result, Micros rtt) {
     std::string id = "m" + std::to_string(n++);
-    driver.at(driver.now + 10 * kMillisecond).arrive(id, "safe", d);
-    driver.at(driver.now + rtt).wake();
-    driver.end(id, 0, result, rtt);
+    driver.advanceTo(driver.now + 10 * kMillisecond).submit(id, "idempotent", d);
+    driver.advanceTo(driver.now + rtt).fireTimer();
+    driver.reportOutcome(id, 0, result, rtt);
     return id;
   };
   // Busy enough that connections are worth keeping.
@@ -121,18 +123,19 @@
     }
   }
   for (int d = 1; d <= 2; ++d) {
-    driver.at(driver.now + 2 * kSecond);
+    driver.advanceTo(driver.now + 2 * kSecond);
     const std::string lost = call(d, AttemptResult::timeout, 900 * kMillisecond);
-    const std::string first = driver.sent_to[lost];
+    const std::string first = driver.last_endpoint[lost];
     std::vector<std::string> sent;
     while (sent.empty()) {
-      sent = driver.at(driver.now + 50 * kMillisecond).wake();
+      sent = driver.advanceTo(driver.now + 50 * kMillisecond).fireTimer();
     }
-    EXPECT_NE(driver.sent_to[lost], first);
-    driver.at(driver.now + 50 * kMillisecond).end(sent[0], 1, AttemptResult::ok, 50 * kMillisecond);
+    EXPECT_NE(driver.last_endpoint[lost], first);
+    driver.advanceTo(driver.now + 50 * kMillisecond)
+        .reportOutcome(sent[0], 1, AttemptResult::ok, 50 * kMillisecond);
   }
-  driver.at(driver.now + 3 * kSecond).arrive("last", "safe", 3);
-  EXPECT_EQ(driver.got<CloseIdleConnections>().size(), 1u);
+  driver.advanceTo(driver.now + 3 * kSecond).submit("last", "idempotent", 3);
+  EXPECT_EQ(driver.actionsOfType<CloseIdleConnections>().size(), 1u);
 }
 
 // rough-2 of budapest-kozpont, ie55d22: several destinations hang at once; calls that were in flight when
@@ -143,24 +146,24 @@
   settings.call_slots = 4;
   settings.may_cancel = true;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2), makeEndpoint("e3", 3)});
+  driver.updateEndpoints({makeEndpoint("e1", 1), makeEndpoint("e2", 2), makeEndpoint("e3", 3)});
   for (int d = 1; d <= 3; ++d) {
     for (int i = 0; i < 10; ++i) {
       const std::string id = "w" + std::to_string(d * 100 + i);
-      driver.at(driver.now + 300 * kMillisecond).arrive(id, "safe", d);
-      driver.at(driver.now + 100 * kMillisecond).end(id, 0, AttemptResult::ok);
+      driver.advanceTo(driver.now + 300 * kMillisecond).submit(id, "idempotent", d);
+      driver.advanceTo(driver.now + 100 * kMillisecond).reportOutcome(id, 0, AttemptResult::ok);
     }
   }
-  driver.at(driver.now + kSecond)
-      .run({driver.arrival("p", "unsafe", 1), driver.arrival("a", "safe", 1), driver.arrival("b", "safe", 2),
-            driver.arrival("c", "safe", 2)});
-  driver.at(driver.now + 700 * kMillisecond).arrive("healthy", "safe", 3);
-  const auto off = driver.got<CancelAttempt>();
+  driver.advanceTo(driver.now + kSecond)
+      .decide({driver.makeArrival("p", "non_idempotent", 1), driver.makeArrival("a", "idempotent", 1),
+               driver.makeArrival("b", "idempotent", 2), driver.makeArrival("c", "idempotent", 2)});
+  driver.advanceTo(driver.now + 700 * kMillisecond).submit("healthy", "idempotent", 3);
+  const auto off = driver.actionsOfType<CancelAttempt>();
   ASSERT_EQ(off.size(), 2u);
   EXPECT_NE(off[0].id, "p");
   EXPECT_NE(off[1].id, "p");
-  AttemptOutcome o = driver.outcome(off[0].id, 0, AttemptResult::cancelled);
-  EXPECT_EQ(driver.at(driver.now + 5 * kMillisecond).run({o}), std::vector<std::string>{"healthy"});
+  AttemptOutcome o = driver.makeOutcome(off[0].id, 0, AttemptResult::cancelled);
+  EXPECT_EQ(driver.advanceTo(driver.now + 5 * kMillisecond).decide({o}), std::vector<std::string>{"healthy"});
 }
 
 // ticket4109: destinations that stopped answering were sent calls within the bulkhead until the first ones
@@ -171,24 +174,25 @@
   settings.sender_count = 2;
   settings.call_slots = 20;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
+  driver.updateEndpoints({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
   for (int i = 0; i < 20; ++i) {
     const std::string id = "w" + std::to_string(i);
-    driver.at(driver.now + 300 * kMillisecond).arrive(id, "safe", 1);
-    driver.at(driver.now + 100 * kMillisecond).end(id, 0, AttemptResult::ok);
+    driver.advanceTo(driver.now + 300 * kMillisecond).submit(id, "idempotent", 1);
+    driver.advanceTo(driver.now + 100 * kMillisecond).reportOutcome(id, 0, AttemptResult::ok);
   }
-  driver.at(driver.now + kSecond)
-      .run({driver.arrival("a", "safe", 1), driver.arrival("b", "safe", 1), driver.arrival("c", "safe", 1)});
-  driver.at(driver.now + kSecond);
+  driver.advanceTo(driver.now + kSecond)
+      .decide({driver.makeArrival("a", "idempotent", 1), driver.makeArrival("b", "idempotent", 1),
+               driver.makeArrival("c", "idempotent", 1)});
+  driver.advanceTo(driver.now + kSecond);
   std::vector<Event> more;
   more.reserve(5);
   for (int i = 0; i < 5; ++i) {
-    more.emplace_back(driver.arrival("m" + std::to_string(i), "safe", 1));
+    more.emplace_back(driver.makeArrival("m" + std::to_string(i), "idempotent", 1));
   }
-  EXPECT_LE(driver.run(more).size(), 1u);  // a trial, where the bulkhead has capacity for seven
+  EXPECT_LE(driver.decide(more).size(), 1u);  // a trial, where the bulkhead has capacity for seven
   std::size_t n = 0;
   for (int i = 0; i < 10; ++i) {
-    n += driver.at(driver.now + 100 * kMillisecond).wake().size();
+    n += driver.advanceTo(driver.now + 100 * kMillisecond).fireTimer().size();
   }
   EXPECT_LE(n, 2u);
 }
@@ -203,32 +207,40 @@
   for (int d = 1; d <= 6; ++d) {
     all.emplace_back(makeEndpoint("e" + std::to_string(d), d));
   }
-  driver.list(all);
+  driver.updateEndpoints(all);
   for (int d = 1; d <= 6; ++d) {
     const std::string id = "w" + std::to_string(d);
-    driver.at(driver.now + 300 * kMillisecond).arrive(id, "safe", d);
-    driver.at(driver.now + 100 * kMillisecond).end(id, 0, AttemptResult::ok);
+    driver.advanceTo(driver.now + 300 * kMillisecond).submit(id, "idempotent", d);
+    driver.advanceTo(driver.now + 100 * kMillisecond).reportOutcome(id, 0, AttemptResult::ok);
   }
-  driver.at(driver.now + kSecond).run({driver.arrival("a", "safe", 1), driver.arrival("b", "safe", 2)});
-  driver.at(driver.now + 600 * kMillisecond).wake();  // both overdue now: the bulkhead of two is full
-  EXPECT_TRUE(driver.run({driver.arrival("c", "safe", 1), driver.arrival("d", "safe", 2)}).empty());
-  EXPECT_EQ(driver.run({driver.arrival("x", "safe", 3), driver.arrival("y", "safe", 4)}).size(), 2u);
+  driver.advanceTo(driver.now + kSecond)
+      .decide({driver.makeArrival("a", "idempotent", 1), driver.makeArrival("b", "idempotent", 2)});
+  driver.advanceTo(driver.now + 600 * kMillisecond)
+      .fireTimer();  // both overdue now: the bulkhead of two is full
+  EXPECT_TRUE(
+      driver.decide({driver.makeArrival("c", "idempotent", 1), driver.makeArrival("d", "idempotent", 2)})
+          .empty());
+  EXPECT_EQ(
+      driver.decide({driver.makeArrival("x", "idempotent", 3), driver.makeArrival("y", "idempotent", 4)})
+          .size(),
+      2u);
 }
 
 // Observed on loopback under load: answers in 0.1 ms led to time-outs of 1.6 ms, and a payment whose answer
 // took 3 ms timed out and was lost, though the next turn, a tick later, would have received it in time.
 TEST(Health, TimeOutIsNeverShorterThanATick) {
   SchedulerDriver driver;
-  driver.at(kSecond).list({makeEndpoint("e", 1)});
+  driver.advanceTo(kSecond).updateEndpoints({makeEndpoint("e", 1)});
   for (int i = 0; i < 20; ++i) {
     const std::string id = "warm" + std::to_string(i);
-    ASSERT_EQ(1u, driver.arrive(id, "safe", 1).size());
-    driver.at(driver.now + driver.settings.tick).end(id, 0, AttemptResult::ok, 100);  // answered in 0.1 ms
+    ASSERT_EQ(1u, driver.submit(id, "idempotent", 1).size());
+    driver.advanceTo(driver.now + driver.settings.tick)
+        .reportOutcome(id, 0, AttemptResult::ok, 100);  // answered in 0.1 ms
   }
-  ASSERT_EQ(1u, driver.arrive("payment", "unsafe", 1).size());
-  EXPECT_GE(driver.timeout["payment"], driver.settings.tick);
-  ASSERT_EQ(1u, driver.arrive("notice", "safe", 1).size());
-  EXPECT_GE(driver.timeout["notice"], driver.settings.tick);
+  ASSERT_EQ(1u, driver.submit("payment", "non_idempotent", 1).size());
+  EXPECT_GE(driver.last_timeout["payment"], driver.settings.tick);
+  ASSERT_EQ(1u, driver.submit("notice", "idempotent", 1).size());
+  EXPECT_GE(driver.last_timeout["notice"], driver.settings.tick);
 }
 
 }  // namespace
--- a/tests/decision/restart_test.cpp
+++ b/tests/decision/restart_test.cpp
@@ -22,47 +22,50 @@
 // arrives.
 TEST(Restart, NoRepeatThatMayArriveAfterTheDeduplicationWindow) {
   SchedulerDriver driver;
-  driver.at(100 * kSecond).list({makeEndpoint("e", 1)});
+  driver.advanceTo(100 * kSecond).updateEndpoints({makeEndpoint("e", 1)});
   const RecoveredAttempt in_time{"e", 100 * kSecond - 3900 * kMillisecond, true},
       too_near{"e", 100 * kSecond - 4100 * kMillisecond, true};
-  const auto sent = driver.run(
-      {recovered(driver, "in_time", "keyed", {in_time}), recovered(driver, "near", "keyed", {too_near})});
+  const auto sent = driver.decide({recovered(driver, "in_time", "with_key", {in_time}),
+                                   recovered(driver, "near", "with_key", {too_near})});
   EXPECT_EQ(std::vector<std::string>{"in_time"}, std::vector<std::string>(sent.begin(), sent.end()));
 }
 
 TEST(Restart, RecoveredMessagesAreRepeatedOnlyAsTheirClassAllows) {
   SchedulerDriver driver;
-  driver.at(100 * kSecond).list({makeEndpoint("e", 1)});
+  driver.advanceTo(100 * kSecond).updateEndpoints({makeEndpoint("e", 1)});
   const RecoveredAttempt old{"e", 90 * kSecond, true}, young{"e", 99 * kSecond, true},
       none{"e", 99 * kSecond, false};
   const RecoveredAttempt unlisted{"elsewhere", 99 * kSecond, true};
-  const auto sent = driver.run(
-      {recovered(driver, "safe", "safe", {old}), recovered(driver, "keyed", "keyed", {young}),
-       recovered(driver, "forgotten", "keyed", {old}), recovered(driver, "unsafe", "unsafe", {young}),
-       recovered(driver, "untried", "unsafe", {}), recovered(driver, "refused", "unsafe", {none}),
-       recovered(driver, "away", "unsafe", {unlisted})});
-  EXPECT_EQ((std::set<std::string>{"safe", "keyed", "untried", "refused"}),
+  const auto sent = driver.decide({recovered(driver, "idempotent", "idempotent", {old}),
+                                   recovered(driver, "with_key", "with_key", {young}),
+                                   recovered(driver, "forgotten", "with_key", {old}),
+                                   recovered(driver, "non_idempotent", "non_idempotent", {young}),
+                                   recovered(driver, "untried", "non_idempotent", {}),
+                                   recovered(driver, "refused", "non_idempotent", {none}),
+                                   recovered(driver, "away", "non_idempotent", {unlisted})});
+  EXPECT_EQ((std::set<std::string>{"idempotent", "with_key", "untried", "refused"}),
             std::set<std::string>(sent.begin(), sent.end()));
   std::set<std::string> failed;
-  for (const Fail& f : driver.got<Fail>()) {
+  for (const Fail& f : driver.actionsOfType<Fail>()) {
     failed.insert(f.id);
   }
-  EXPECT_EQ((std::set<std::string>{"unsafe", "away"}), failed);
-  ASSERT_EQ(1u,
-            driver.got<Reject>().size());  // all of its endpoints deduplicate: it may be submitted again
-  EXPECT_EQ("forgotten", driver.got<Reject>()[0].id);
+  EXPECT_EQ((std::set<std::string>{"non_idempotent", "away"}), failed);
+  ASSERT_EQ(
+      1u,
+      driver.actionsOfType<Reject>().size());  // all of its endpoints deduplicate: it may be submitted again
+  EXPECT_EQ("forgotten", driver.actionsOfType<Reject>()[0].id);
 }
 
 TEST(Restart, EarlierAttemptsCountTowardsMaxAttempts) {
   SchedulerDriver driver;
-  driver.at(100 * kSecond).list({makeEndpoint("e", 1)});
+  driver.advanceTo(100 * kSecond).updateEndpoints({makeEndpoint("e", 1)});
   const std::vector<RecoveredAttempt> past(static_cast<std::size_t>(driver.settings.max_attempts - 1),
                                            {"e", 99 * kSecond, true});
-  EXPECT_EQ(1u, driver.run({recovered(driver, "m", "safe", past)}).size());
-  driver.at(101 * kSecond);
-  EXPECT_TRUE(
-      driver.run({driver.outcome("m", driver.settings.max_attempts - 1, AttemptResult::error)}).empty());
-  EXPECT_EQ(1u, driver.got<Reject>().size());
+  EXPECT_EQ(1u, driver.decide({recovered(driver, "m", "idempotent", past)}).size());
+  driver.advanceTo(101 * kSecond);
+  EXPECT_TRUE(driver.decide({driver.makeOutcome("m", driver.settings.max_attempts - 1, AttemptResult::error)})
+                  .empty());
+  EXPECT_EQ(1u, driver.actionsOfType<Reject>().size());
 }
 
 // A call that the predecessor still has in flight holds its slot, is not sent again, and ends like an own
@@ -71,50 +74,53 @@
   Settings set = makeSettings();
   set.call_slots = 2;
   SchedulerDriver driver(set);
-  driver.at(100 * kSecond).list({makeEndpoint("e", 1)});
+  driver.advanceTo(100 * kSecond).updateEndpoints({makeEndpoint("e", 1)});
   const RecoveredAttempt out{"e", 99 * kSecond, true, true};
-  EXPECT_TRUE(
-      driver.run({recovered(driver, "a", "unsafe", {out}), recovered(driver, "b", "unsafe", {out})}).empty());
-  EXPECT_TRUE(driver.got<Fail>().empty());
-  driver.at(100 * kSecond + 10 * kMillisecond);
-  EXPECT_TRUE(driver.arrive("next", "safe", 1).empty());  // both slots are in use
-  driver.at(100 * kSecond + 20 * kMillisecond);
-  EXPECT_EQ(std::vector<std::string>{"next"}, driver.end("a", 0, AttemptResult::ok));
-  driver.at(100 * kSecond + 30 * kMillisecond);
-  driver.end("b", 0, AttemptResult::cancelled);  // lost with the predecessor: it may have run
-  ASSERT_EQ(1u, driver.got<Fail>().size());
-  EXPECT_EQ("b", driver.got<Fail>()[0].id);
+  EXPECT_TRUE(driver
+                  .decide({recovered(driver, "a", "non_idempotent", {out}),
+                           recovered(driver, "b", "non_idempotent", {out})})
+                  .empty());
+  EXPECT_TRUE(driver.actionsOfType<Fail>().empty());
+  driver.advanceTo(100 * kSecond + 10 * kMillisecond);
+  EXPECT_TRUE(driver.submit("next", "idempotent", 1).empty());  // both slots are in use
+  driver.advanceTo(100 * kSecond + 20 * kMillisecond);
+  EXPECT_EQ(std::vector<std::string>{"next"}, driver.reportOutcome("a", 0, AttemptResult::ok));
+  driver.advanceTo(100 * kSecond + 30 * kMillisecond);
+  driver.reportOutcome("b", 0, AttemptResult::cancelled);  // lost with the predecessor: it may have run
+  ASSERT_EQ(1u, driver.actionsOfType<Fail>().size());
+  EXPECT_EQ("b", driver.actionsOfType<Fail>()[0].id);
 }
 
 // A Retry-After outlasts the process that received it.
 TEST(Restart, RetryAfterIsKeptByTheNextProcess) {
   SchedulerDriver first;
-  first.at(100 * kSecond).list({makeEndpoint("e", 1)});
-  first.arrive("m", "safe", 1);
-  first.at(100 * kSecond + 100 * kMillisecond)
-      .end("m", 0, AttemptResult::throttled, 100 * kMillisecond, 700 * kMillisecond);
-  ASSERT_EQ(1u, first.got<HealthRecord>().size());
+  first.advanceTo(100 * kSecond).updateEndpoints({makeEndpoint("e", 1)});
+  first.submit("m", "idempotent", 1);
+  first.advanceTo(100 * kSecond + 100 * kMillisecond)
+      .reportOutcome("m", 0, AttemptResult::throttled, 100 * kMillisecond, 700 * kMillisecond);
+  ASSERT_EQ(1u, first.actionsOfType<HealthRecord>().size());
   SchedulerDriver next;
-  next.at(first.now + 10 * kMillisecond).list({makeEndpoint("e", 1)});
-  EXPECT_TRUE(next.run({first.got<HealthRecord>()[0], recovered(next, "m", "safe", {})}).empty());
-  next.at(first.now + 699 * kMillisecond);
-  EXPECT_TRUE(next.wake().empty());
-  next.at(first.now + 701 * kMillisecond);
-  EXPECT_EQ(1u, next.wake().size());
+  next.advanceTo(first.now + 10 * kMillisecond).updateEndpoints({makeEndpoint("e", 1)});
+  EXPECT_TRUE(
+      next.decide({first.actionsOfType<HealthRecord>()[0], recovered(next, "m", "idempotent", {})}).empty());
+  next.advanceTo(first.now + 699 * kMillisecond);
+  EXPECT_TRUE(next.fireTimer().empty());
+  next.advanceTo(first.now + 701 * kMillisecond);
+  EXPECT_EQ(1u, next.fireTimer().size());
 }
 
 // The successor resumes a backlog: it must pace a destination that it sees failing as the predecessor would
 // have.
 TEST(Restart, HealthRecordsAreWrittenAndKeptByTheNextProcess) {
   SchedulerDriver first;
-  first.at(100 * kSecond).list({makeEndpoint("e", 1, "shared", 10)});
+  first.advanceTo(100 * kSecond).updateEndpoints({makeEndpoint("e", 1, "shared", 10)});
   std::vector<HealthRecord> kept;
   for (int i = 0; i < 8; ++i) {
-    first.at(100 * kSecond + 2 * kSecond * i);
-    first.arrive("m" + std::to_string(i), "safe", 1);
-    for (const SendAttempt& sent : first.got<SendAttempt>()) {
-      first.at(first.now + 10 * kMillisecond).end(sent.id, 0, AttemptResult::connect_failed);
-      for (const HealthRecord& a : first.got<HealthRecord>()) {
+    first.advanceTo(100 * kSecond + 2 * kSecond * i);
+    first.submit("m" + std::to_string(i), "idempotent", 1);
+    for (const SendAttempt& sent : first.actionsOfType<SendAttempt>()) {
+      first.advanceTo(first.now + 10 * kMillisecond).reportOutcome(sent.id, 0, AttemptResult::connect_failed);
+      for (const HealthRecord& a : first.actionsOfType<HealthRecord>()) {
         kept.push_back(a);
       }
     }
@@ -124,15 +130,15 @@
   EXPECT_EQ(1, kept.back().destination);
   auto sends = [&](bool told) {
     SchedulerDriver next;
-    next.at(first.now + kSecond).list({makeEndpoint("e", 1, "shared", 10)});
+    next.advanceTo(first.now + kSecond).updateEndpoints({makeEndpoint("e", 1, "shared", 10)});
     std::vector<Event> events;
     if (told) {
       events.emplace_back(kept.back());
     }
     for (int i = 0; i < 8; ++i) {
-      events.emplace_back(recovered(next, "r" + std::to_string(i), "safe", {}));
+      events.emplace_back(recovered(next, "r" + std::to_string(i), "idempotent", {}));
     }
-    return next.run(events).size();
+    return next.decide(events).size();
   };
   EXPECT_EQ(1u, sends(true));
   EXPECT_GT(sends(false), 3u);
@@ -140,21 +146,21 @@
 
 TEST(Restart, BeforeAShutdownOnlyCallsWithATimelyOutcomeAreStarted) {
   SchedulerDriver driver;
-  driver.at(100 * kSecond).list({makeEndpoint("e", 1)});
-  driver.arrive("warm", "safe", 1);
-  driver.at(driver.now + 100 * kMillisecond).end("warm", 0, AttemptResult::ok);
-  driver.at(101 * kSecond).run({ShutdownScheduled{101 * kSecond + 3 * kSecond}});
-  EXPECT_EQ(1u, driver.arrive("soon", "unsafe", 1).size());
-  driver.at(driver.now + 100 * kMillisecond).end("soon", 0, AttemptResult::ok);
+  driver.advanceTo(100 * kSecond).updateEndpoints({makeEndpoint("e", 1)});
+  driver.submit("warm", "idempotent", 1);
+  driver.advanceTo(driver.now + 100 * kMillisecond).reportOutcome("warm", 0, AttemptResult::ok);
+  driver.advanceTo(101 * kSecond).decide({ShutdownScheduled{101 * kSecond + 3 * kSecond}});
+  EXPECT_EQ(1u, driver.submit("soon", "non_idempotent", 1).size());
+  driver.advanceTo(driver.now + 100 * kMillisecond).reportOutcome("soon", 0, AttemptResult::ok);
   // Half of its time-out is left, many times what an answer takes: it is not left to the successor.
-  driver.at(104 * kSecond - 900 * kMillisecond);
-  EXPECT_EQ(1u, driver.arrive("payment", "unsafe", 1).size());
-  EXPECT_GT(driver.now + driver.timeout["payment"], 104 * kSecond);
-  driver.at(driver.now + 100 * kMillisecond).end("payment", 0, AttemptResult::ok);
-  driver.at(104 * kSecond - 50 * kMillisecond);
-  EXPECT_TRUE(driver.arrive("late", "unsafe", 1).empty());
-  EXPECT_TRUE(driver.got<Fail>().empty());
-  EXPECT_TRUE(driver.got<Reject>().empty());  // it is left to the successor
+  driver.advanceTo(104 * kSecond - 900 * kMillisecond);
+  EXPECT_EQ(1u, driver.submit("payment", "non_idempotent", 1).size());
+  EXPECT_GT(driver.now + driver.last_timeout["payment"], 104 * kSecond);
+  driver.advanceTo(driver.now + 100 * kMillisecond).reportOutcome("payment", 0, AttemptResult::ok);
+  driver.advanceTo(104 * kSecond - 50 * kMillisecond);
+  EXPECT_TRUE(driver.submit("late", "non_idempotent", 1).empty());
+  EXPECT_TRUE(driver.actionsOfType<Fail>().empty());
+  EXPECT_TRUE(driver.actionsOfType<Reject>().empty());  // it is left to the successor
 }
 
 // Recovered messages without an attempt have been accepted: with one slot, a table that is more than full and
@@ -166,23 +172,23 @@
   settings.call_slots = 1;
   settings.sender_count = 300;
   SchedulerDriver driver(settings);
-  driver.at(100 * kSecond).list({makeEndpoint("e", 1)});
+  driver.advanceTo(100 * kSecond).updateEndpoints({makeEndpoint("e", 1)});
   std::vector<Event> events;
   events.reserve(20);
   for (int i = 0; i < 20; ++i) {
-    events.emplace_back(recovered(driver, "m" + std::to_string(i), "safe", {}));
+    events.emplace_back(recovered(driver, "m" + std::to_string(i), "idempotent", {}));
   }
-  std::vector<std::string> sent = driver.run(events);
+  std::vector<std::string> sent = driver.decide(events);
   std::set<std::string> tried;
   for (int turn = 0; turn < 100 && !sent.empty(); ++turn) {
     tried.insert(sent.begin(), sent.end());
-    EXPECT_TRUE(driver.got<Reject>().empty());
-    EXPECT_TRUE(driver.got<Fail>().empty());
-    driver.arrive("new" + std::to_string(turn), "safe",
+    EXPECT_TRUE(driver.actionsOfType<Reject>().empty());
+    EXPECT_TRUE(driver.actionsOfType<Fail>().empty());
+    driver.submit("new" + std::to_string(turn), "idempotent",
                   1);  // new messages do not displace them
-    sent = driver.at(driver.now + 50 * kMillisecond).end(sent[0], 0, AttemptResult::ok);
+    sent = driver.advanceTo(driver.now + 50 * kMillisecond).reportOutcome(sent[0], 0, AttemptResult::ok);
     for (int i = 0; i < 40 && sent.empty(); ++i) {
-      sent = driver.at(driver.now + 50 * kMillisecond).wake();
+      sent = driver.advanceTo(driver.now + 50 * kMillisecond).fireTimer();
     }
   }
   for (int i = 0; i < 20; ++i) {
@@ -195,20 +201,20 @@
   Settings settings = makeSettings();
   settings.call_slots = 1;
   SchedulerDriver driver(settings);
-  driver.at(100 * kSecond).list({makeEndpoint("e", 1), makeEndpoint("f", 2)});
+  driver.advanceTo(100 * kSecond).updateEndpoints({makeEndpoint("e", 1), makeEndpoint("f", 2)});
   std::vector<Event> events;
   events.reserve(5);
   for (int i = 0; i < 5; ++i) {
-    events.emplace_back(recovered(driver, "m" + std::to_string(i), "safe", {}));
+    events.emplace_back(recovered(driver, "m" + std::to_string(i), "idempotent", {}));
   }
   for (int i = 0; i < 5; ++i) {
-    events.emplace_back(driver.arrival("new" + std::to_string(i), "unsafe", 2));
+    events.emplace_back(driver.makeArrival("new" + std::to_string(i), "non_idempotent", 2));
   }
-  std::vector<std::string> sent = driver.run(events), order;
+  std::vector<std::string> sent = driver.decide(events), order;
   for (int i = 0; i < 200 && order.size() < 10; ++i) {
     order.insert(order.end(), sent.begin(), sent.end());
-    driver.at(driver.now + 50 * kMillisecond);
-    sent = sent.empty() ? driver.wake() : driver.end(sent[0], 0, AttemptResult::ok);
+    driver.advanceTo(driver.now + 50 * kMillisecond);
+    sent = sent.empty() ? driver.fireTimer() : driver.reportOutcome(sent[0], 0, AttemptResult::ok);
   }
   ASSERT_EQ(10u, order.size());
   for (int i = 0; i < 5; ++i) {
@@ -222,21 +228,21 @@
   Settings settings = makeSettings();
   settings.call_slots = 1;
   SchedulerDriver driver(settings);
-  driver.at(100 * kSecond).list({makeEndpoint("e", 1), makeEndpoint("f", 2)});
+  driver.advanceTo(100 * kSecond).updateEndpoints({makeEndpoint("e", 1), makeEndpoint("f", 2)});
   std::vector<Event> events;
   for (int i = 0; i < 5; ++i) {
-    RecoveredMessage message = recovered(driver, "m" + std::to_string(i), "safe", {});
+    RecoveredMessage message = recovered(driver, "m" + std::to_string(i), "idempotent", {});
     message.after_restart = false;
     events.emplace_back(message);
   }
   for (int i = 0; i < 5; ++i) {
-    events.emplace_back(driver.arrival("new" + std::to_string(i), "unsafe", 2));
+    events.emplace_back(driver.makeArrival("new" + std::to_string(i), "non_idempotent", 2));
   }
-  std::vector<std::string> sent = driver.run(events), order;
+  std::vector<std::string> sent = driver.decide(events), order;
   for (int i = 0; i < 200 && order.size() < 4; ++i) {
     order.insert(order.end(), sent.begin(), sent.end());
-    driver.at(driver.now + 50 * kMillisecond);
-    sent = sent.empty() ? driver.wake() : driver.end(sent[0], 0, AttemptResult::ok);
+    driver.advanceTo(driver.now + 50 * kMillisecond);
+    sent = sent.empty() ? driver.fireTimer() : driver.reportOutcome(sent[0], 0, AttemptResult::ok);
   }
   ASSERT_EQ(4u, order.size());
   EXPECT_EQ(2, std::count_if(order.begin(), order.end(), [](const std::string& id) { return id[0] == 'm'; }));
@@ -246,11 +252,11 @@
   Settings settings = makeSettings();
   settings.max_messages = 3;
   SchedulerDriver driver(settings);
-  driver.at(100 * kSecond).list({});
+  driver.advanceTo(100 * kSecond).updateEndpoints({});
   int refused = 0;
   for (int i = 0; i < 6; ++i) {
-    driver.arrive("m" + std::to_string(i), "safe", 1);
-    refused += static_cast<int>(driver.got<Reject>().size());
+    driver.submit("m" + std::to_string(i), "idempotent", 1);
+    refused += static_cast<int>(driver.actionsOfType<Reject>().size());
   }
   EXPECT_GE(refused, 3);
 }
--- a/tests/decision/tags_test.cpp
+++ b/tests/decision/tags_test.cpp
@@ -17,18 +17,18 @@
   settings.classes = {makeClass("c1", Idempotency::idempotent, 50 * kMillisecond),
                       makeClass("c2", Idempotency::idempotent, 25 * kMillisecond)};
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1, "shared", 3000), makeEndpoint("e2", 2, "shared", 1000)});
+  driver.updateEndpoints({makeEndpoint("e1", 1, "shared", 3000), makeEndpoint("e2", 2, "shared", 1000)});
   // Weights in the ratio 3:1, far above the server's rate, so that no bound decides.
   std::vector<Event> all;
   for (int i = 0; i < 30; ++i) {
-    all.emplace_back(driver.arrival("a" + std::to_string(i), "c1", 1));
-    all.emplace_back(driver.arrival("b" + std::to_string(i), "c2", 2));
+    all.emplace_back(driver.makeArrival("a" + std::to_string(i), "c1", 1));
+    all.emplace_back(driver.makeArrival("b" + std::to_string(i), "c2", 2));
   }
-  Ids order = driver.run(all);
+  Ids order = driver.decide(all);
   for (int t = 1; order.size() < 25 && t < 100; ++t) {
     const std::string last = order.back();
-    for (const auto& id :
-         driver.at(10 * kMillisecond * t).end(last, 0, AttemptResult::ok, 10 * kMillisecond)) {
+    for (const auto& id : driver.advanceTo(10 * kMillisecond * t)
+                              .reportOutcome(last, 0, AttemptResult::ok, 10 * kMillisecond)) {
       order.push_back(id);
     }
   }
@@ -49,21 +49,22 @@
   settings.call_slots = 1;
   settings.weight_kind = WeightKind::nominal;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1, "shared", 1000), makeEndpoint("e2", 2, "shared", 1)});
-  EXPECT_EQ(driver.run({driver.arrival("x", "safe", 1), driver.arrival("a1", "safe", 1),
-                        driver.arrival("b1", "safe", 2)}),
-            Ids{"x"});
+  driver.updateEndpoints({makeEndpoint("e1", 1, "shared", 1000), makeEndpoint("e2", 2, "shared", 1)});
+  EXPECT_EQ(
+      driver.decide({driver.makeArrival("x", "idempotent", 1), driver.makeArrival("a1", "idempotent", 1),
+                     driver.makeArrival("b1", "idempotent", 2)}),
+      Ids{"x"});
   // a1 has local tag 2 s, global about 1 ms; b1 has a due local tag and a later global one.
-  EXPECT_EQ(driver.at(100 * kMillisecond).end("x", 0, AttemptResult::ok), Ids{"b1"});
-  EXPECT_EQ(driver.at(200 * kMillisecond).end("b1", 0, AttemptResult::ok), Ids{"a1"});
+  EXPECT_EQ(driver.advanceTo(100 * kMillisecond).reportOutcome("x", 0, AttemptResult::ok), Ids{"b1"});
+  EXPECT_EQ(driver.advanceTo(200 * kMillisecond).reportOutcome("b1", 0, AttemptResult::ok), Ids{"a1"});
 }
 
 TEST(Tags, EndpointWithTheFewestCallsInFlightIsChosen) {
   SchedulerDriver driver;
-  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
-  driver.arrive("m1", "safe", 1);
-  driver.arrive("m2", "safe", 1);
-  EXPECT_NE(driver.sent_to["m1"], driver.sent_to["m2"]);
+  driver.updateEndpoints({makeEndpoint("e1", 1), makeEndpoint("e2", 1)});
+  driver.submit("m1", "idempotent", 1);
+  driver.submit("m2", "idempotent", 1);
+  EXPECT_NE(driver.last_endpoint["m1"], driver.last_endpoint["m2"]);
 }
 
 TEST(Tags, IdleCreditIsAtMostSigmaStarts) {
@@ -71,24 +72,24 @@
   settings.call_slots = 1;
   settings.weight_kind = WeightKind::nominal;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1, "shared", 100), makeEndpoint("e2", 2, "shared", 100)});
-  driver.arrive("old", "safe", 2);
-  driver.at(100 * kMillisecond).end("old", 0, AttemptResult::ok);
+  driver.updateEndpoints({makeEndpoint("e1", 1, "shared", 100), makeEndpoint("e2", 2, "shared", 100)});
+  driver.submit("old", "idempotent", 2);
+  driver.advanceTo(100 * kMillisecond).reportOutcome("old", 0, AttemptResult::ok);
   // Destination 1 is backlogged, 2 becomes active again with four messages: its lag of two starts puts the
   // second and third before those of 1, not the fourth.
-  driver.at(5 * kSecond);
+  driver.advanceTo(5 * kSecond);
   std::vector<Event> all;
   all.reserve(5);
   for (int i = 0; i < 5; ++i) {
-    all.emplace_back(driver.arrival("a" + std::to_string(i), "safe", 1));
+    all.emplace_back(driver.makeArrival("a" + std::to_string(i), "idempotent", 1));
   }
   for (int i = 0; i < 4; ++i) {
-    all.emplace_back(driver.arrival("b" + std::to_string(i), "safe", 2));
+    all.emplace_back(driver.makeArrival("b" + std::to_string(i), "idempotent", 2));
   }
-  Ids order = driver.run(all);
+  Ids order = driver.decide(all);
   for (int i = 0; order.size() < 6 && i < 20; ++i) {
-    for (const auto& id : driver.at(5 * kSecond + 20 * kMillisecond * (i + 1))
-                              .end(order.back(), 0, AttemptResult::ok, 20 * kMillisecond)) {
+    for (const auto& id : driver.advanceTo(5 * kSecond + 20 * kMillisecond * (i + 1))
+                              .reportOutcome(order.back(), 0, AttemptResult::ok, 20 * kMillisecond)) {
       order.push_back(id);
     }
   }
@@ -107,24 +108,26 @@
   Settings settings = makeSettings();
   settings.call_slots = 1;
   SchedulerDriver driver(settings);
-  driver.list({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
+  driver.updateEndpoints({makeEndpoint("e1", 1), makeEndpoint("e2", 2)});
   std::vector<Event> all;
   all.reserve(30);
   for (int i = 0; i < 30; ++i) {
-    all.emplace_back(driver.arrival("a" + std::to_string(i), "safe", 1));
+    all.emplace_back(driver.makeArrival("a" + std::to_string(i), "idempotent", 1));
   }
-  Ids order = driver.run(all);
+  Ids order = driver.decide(all);
   for (int i = 1; i <= 10; ++i) {
-    order = driver.at(10 * kMillisecond * i).end(order.at(0), 0, AttemptResult::ok, 10 * kMillisecond);
+    order = driver.advanceTo(10 * kMillisecond * i)
+                .reportOutcome(order.at(0), 0, AttemptResult::ok, 10 * kMillisecond);
   }
   all.clear();
   for (int i = 0; i < 5; ++i) {
-    all.emplace_back(driver.arrival("b" + std::to_string(i), "safe", 2));
+    all.emplace_back(driver.makeArrival("b" + std::to_string(i), "idempotent", 2));
   }
-  EXPECT_TRUE(driver.run(all).empty());
+  EXPECT_TRUE(driver.decide(all).empty());
   std::string who;
   for (int i = 11; i <= 16; ++i) {
-    order = driver.at(10 * kMillisecond * i).end(order.at(0), 0, AttemptResult::ok, 10 * kMillisecond);
+    order = driver.advanceTo(10 * kMillisecond * i)
+                .reportOutcome(order.at(0), 0, AttemptResult::ok, 10 * kMillisecond);
     who += order.at(0)[0];
   }
   EXPECT_GE(std::count(who.begin(), who.end(), 'a'), 2) << who;
--- a/tests/support/scheduler_fixture.h
+++ b/tests/support/scheduler_fixture.h
@@ -1,4 +1,5 @@
-// Helpers for the tests of the decision module: settings, and a driver of one DeliveryScheduler.
+// Helpers for the tests of the decision module: settings, endpoints, and a driver that passes events to one
+// DeliveryScheduler.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,6 +15,7 @@
 constexpr Micros kMillisecond = 1000;
 constexpr Micros kSecond = 1000000;
 
+// A class with a deadline of 20 s and a deduplication window of 5 s. `objective` is its latency objective.
 inline MessageClass makeClass(const std::string& name, Idempotency idempotency,
                               Micros objective = 2 * kSecond) {
   MessageClass message_class;
@@ -26,11 +28,14 @@
   return message_class;
 }
 
+// Valid settings with one class for each kind of idempotency, and destination kinds whose endpoints share a
+// limit, have limits of their own, or take up to three messages in a call.
 inline Settings makeSettings() {
   Settings settings;
-  settings.classes = {makeClass("safe", Idempotency::idempotent), makeClass("keyed", Idempotency::with_key),
-                      makeClass("unsafe", Idempotency::non_idempotent)};
-  settings.destination_kinds = {{"shared", false, 1}, {"apart", true, 1}, {"batch", false, 3}};
+  settings.classes = {makeClass("idempotent", Idempotency::idempotent),
+                      makeClass("with_key", Idempotency::with_key),
+                      makeClass("non_idempotent", Idempotency::non_idempotent)};
+  settings.destination_kinds = {{"shared", false, 1}, {"independent", true, 1}, {"batch", false, 3}};
   settings.zones = {"a", "b"};
   settings.call_slots = 8;
   settings.max_messages = 200;
@@ -48,6 +53,7 @@
   return settings;
 }
 
+// An endpoint that is ready. `weight` is its limit in calls a second, 0 for none; see WeightKind.
 inline EndpointInfo makeEndpoint(const std::string& id, std::int64_t destination,
                                  const std::string& kind = "shared", double weight = 0,
                                  const std::string& zone = "a") {
@@ -60,21 +66,27 @@
   return endpoint;
 }
 
-// Runs turns of one scheduler at moments that the test gives, and keeps the actions of the last turn.
+// Passes events to one scheduler at times that the test sets, and keeps the actions of the latest decision.
 class SchedulerDriver {
  public:
-  explicit SchedulerDriver(const Settings& given = makeSettings(), std::uint64_t seed = 7)
-      : settings(given), scheduler(given, seed) {}
+  explicit SchedulerDriver(const Settings& scheduler_settings = makeSettings(), std::uint64_t seed = 7)
+      : settings(scheduler_settings), scheduler(scheduler_settings, seed) {}
 
-  SchedulerDriver& at(Micros moment) {
-    now = moment;
+  // Sets the time of the next decisions, in microseconds.
+  SchedulerDriver& advanceTo(Micros time) {
+    now = time;
     return *this;
   }
-  void list(std::vector<EndpointInfo> endpoints, EndpointUpdateKind kind = EndpointUpdateKind::cached) {
-    run({EndpointsChanged{kind, std::move(endpoints)}});
+
+  // Reports a list of endpoints to the scheduler.
+  void updateEndpoints(std::vector<EndpointInfo> endpoints,
+                       EndpointUpdateKind kind = EndpointUpdateKind::cached) {
+    decide({EndpointsChanged{kind, std::move(endpoints)}});
   }
-  Arrival arrival(const std::string& id, const std::string& class_name, std::int64_t destination,
-                  const std::string& key = "") {
+
+  // Returns the arrival of a message that expires after its class's deadline, counted from now.
+  Arrival makeArrival(const std::string& id, const std::string& class_name, std::int64_t destination,
+                      const std::string& key = "") {
     Arrival arrival;
     arrival.id = id;
     arrival.message_class = class_name;
@@ -87,12 +99,16 @@
     }
     return arrival;
   }
-  std::vector<std::string> arrive(const std::string& id, const std::string& class_name,
+
+  // Submits one message; returns the ids of the messages that the scheduler sends thereupon.
+  std::vector<std::string> submit(const std::string& id, const std::string& class_name,
                                   std::int64_t destination, const std::string& key = "") {
-    return run({arrival(id, class_name, destination, key)});
+    return decide({makeArrival(id, class_name, destination, key)});
   }
-  AttemptOutcome outcome(const std::string& id, int attempt, AttemptResult result,
-                         Micros round_trip_time = 100 * kMillisecond, Micros retry_after = 0) {
+
+  // Returns the outcome of an attempt. Only `ok` finishes the message. A `retry_after` of 0 means none.
+  AttemptOutcome makeOutcome(const std::string& id, int attempt, AttemptResult result,
+                             Micros round_trip_time = 100 * kMillisecond, Micros retry_after = 0) {
     AttemptOutcome outcome;
     outcome.id = id;
     outcome.attempt = attempt;
@@ -102,27 +118,34 @@
     outcome.retry_after = retry_after;
     return outcome;
   }
-  std::vector<std::string> end(const std::string& id, int attempt, AttemptResult result,
-                               Micros round_trip_time = 100 * kMillisecond, Micros retry_after = 0) {
-    return run({outcome(id, attempt, result, round_trip_time, retry_after)});
+
+  // Reports the outcome of one attempt; returns the ids of the messages that the scheduler sends thereupon.
+  std::vector<std::string> reportOutcome(const std::string& id, int attempt, AttemptResult result,
+                                         Micros round_trip_time = 100 * kMillisecond,
+                                         Micros retry_after = 0) {
+    return decide({makeOutcome(id, attempt, result, round_trip_time, retry_after)});
   }
-  std::vector<std::string> wake() { return run({TimerFired{}}); }
 
-  // Runs one turn; returns the ids of the messages sent, in order.
-  std::vector<std::string> run(const std::vector<Event>& events) {
+  // Reports that the timer has fired; returns the ids of the messages that the scheduler sends thereupon.
+  std::vector<std::string> fireTimer() { return decide({TimerFired{}}); }
+
+  // Lets the scheduler decide on these events; returns the ids of the messages sent, in order.
+  std::vector<std::string> decide(const std::vector<Event>& events) {
     actions = scheduler.decide(now, events);
     std::vector<std::string> sent;
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<SendAttempt>(&action)) {
         sent.push_back(send->id);
-        sent_to[send->id] = send->endpoint;
-        timeout[send->id] = send->timeout;
+        last_endpoint[send->id] = send->endpoint;
+        last_timeout[send->id] = send->timeout;
       }
     }
     return sent;
   }
+
+  // The actions of this type among those of the latest decision.
   template <class T>
-  std::vector<T> got() const {
+  std::vector<T> actionsOfType() const {
     std::vector<T> found_actions;
     for (const Action& action : actions) {
       if (const auto* found = std::get_if<T>(&action)) {
@@ -135,9 +158,9 @@
   Settings settings;
   DeliveryScheduler scheduler;
   Micros now = 0;
-  std::vector<Action> actions;
-  std::map<std::string, std::string> sent_to;
-  std::map<std::string, Micros> timeout;
+  std::vector<Action> actions;                       // of the latest decision
+  std::map<std::string, std::string> last_endpoint;  // by message id: the endpoint of its latest attempt
+  std::map<std::string, Micros> last_timeout;        // by message id: the time-out of its latest attempt
 };
 
 }  // namespace delivery
--- a/tests/support/throwing_scheduler.cpp
+++ b/tests/support/throwing_scheduler.cpp
@@ -1,4 +1,5 @@
-// A module whose every decision throws, linked with the adapter to show what becomes of it on the wire.
+// A decision module that throws in every decision. It is linked with the simulator adapter to test what the
+// adapter then sends to the simulator.
 #include <stdexcept>
 
 #include "decision/scheduler.h"
@@ -6,7 +7,7 @@
 namespace delivery {
 
 struct DeliveryScheduler::Impl {};
-// NOLINTNEXTLINE(performance-unnecessary-value-param): scheduler.h declares it so
+// NOLINTNEXTLINE(performance-unnecessary-value-param): scheduler.h declares the parameter by value
 DeliveryScheduler::DeliveryScheduler(Settings, std::uint64_t) {}
 DeliveryScheduler::~DeliveryScheduler() = default;
 std::vector<Action> DeliveryScheduler::decide(Micros, const std::vector<Event>&) {
