--- a/tests/support/scheduler_fixture.h
+++ b/tests/support/scheduler_fixture.h
@@ -30,6 +30,8 @@
 
 // Valid settings with one class for each kind of idempotency, and destination kinds whose endpoints share a
 // limit, have limits of their own, or take up to three messages in a call.
+// Tests of one of many senders, which shares its destinations with many others, set a sender_count of 200 or
+// more.
 inline Settings makeSettings() {
   Settings settings;
   settings.classes = {makeClass("idempotent", Idempotency::idempotent),
