--- a/tests/decision/scheduler_property_test.cpp
+++ b/tests/decision/scheduler_property_test.cpp
@@ -283,7 +283,7 @@
     if (may_have_run && message.message_class->idempotency == Idempotency::non_idempotent) {
       ADD_FAILURE() << "rejected a message that may have run: " << id;
     }
-    if (may_have_run && message.message_class->idempotency == Idempotency::with_key) {
+    if (may_have_run && message.message_class->idempotency == Idempotency::deduplicated) {
       EXPECT_EQ(message.message_class->deduplication_scope, DeduplicationScope::all) << id;
     }
   }
@@ -320,7 +320,7 @@
       }
       EXPECT_NE(message.message_class->idempotency, Idempotency::non_idempotent)
           << "non-idempotent message that may have run was sent again: " << send.id;
-      if (message.message_class->idempotency != Idempotency::with_key) {
+      if (message.message_class->idempotency != Idempotency::deduplicated) {
         continue;
       }
       EXPECT_LE(now_, attempt.sent_at + message.message_class->deduplication_window);
