--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -165,7 +165,7 @@
     server_.on_submit_(std::move(message), [self = shared_from_this()](const SubmitReply& submit_reply) {
       --self->server_.unanswered_requests_;
       if (self->is_open_) {
-        self->reply(toRespLine(submit_reply), isUseful(submit_reply));
+        self->reply(toRespLine(submit_reply), isAcceptedOrBusy(submit_reply));
       }
     });
   }
--- a/src/protocol/submit_reply.cpp
+++ b/src/protocol/submit_reply.cpp
@@ -20,7 +20,7 @@
   return "-ERR internal";
 }
 
-bool isUseful(const SubmitReply& reply) {
+bool isAcceptedOrBusy(const SubmitReply& reply) {
   return reply.status == SubmitStatus::accepted || reply.status == SubmitStatus::busy;
 }
 
--- a/src/protocol/submit_reply.h
+++ b/src/protocol/submit_reply.h
@@ -26,7 +26,7 @@
 std::string toRespLine(const SubmitReply& reply);
 
 // Whether the client was served as designed (accepted, or rejected with a pause), and not for its own error.
-bool isUseful(const SubmitReply& reply);
+bool isAcceptedOrBusy(const SubmitReply& reply);
 
 // Clients and the platform count pauses in whole milliseconds; one that is rounded down would end too early.
 constexpr std::int64_t roundUpToMs(Micros span) {
--- a/tests/protocol/submit_reply_test.cpp
+++ b/tests/protocol/submit_reply_test.cpp
@@ -22,11 +22,11 @@
 }
 
 TEST(SubmitReply, OnlyAcceptedAndBusyAreUseful) {
-  EXPECT_TRUE(isUseful({SubmitStatus::accepted}));
-  EXPECT_TRUE(isUseful({SubmitStatus::busy, 1}));
+  EXPECT_TRUE(isAcceptedOrBusy({SubmitStatus::accepted}));
+  EXPECT_TRUE(isAcceptedOrBusy({SubmitStatus::busy, 1}));
   for (const SubmitStatus status : {SubmitStatus::failed, SubmitStatus::unknown_class,
                                     SubmitStatus::unknown_destination, SubmitStatus::duplicate}) {
-    EXPECT_FALSE(isUseful({status})) << toRespLine({status});
+    EXPECT_FALSE(isAcceptedOrBusy({status})) << toRespLine({status});
   }
 }
 
