--- a/src/process/active_role.cpp
+++ b/src/process/active_role.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// The socket that the platform holds open, so that no connection is refused during an upgrade; the configured
-// address if there is none or it can't be used.
+// Listens on the socket that the platform holds open and passes to the process, so that no connection is
+// refused during an upgrade. If no socket was passed or it can't be used, listens at the configured address.
 tcp::acceptor listenForClients(asio::io_context& io, const Configuration& configuration) {
   if (configuration.passed_socket) {
     try {
@@ -25,7 +25,7 @@
   return listenAt(io, parseAddress(configuration.listen));
 }
 
-DiscoveryClient discoveryClient(asio::io_context& io, const Configuration& configuration) {
+DiscoveryClient createDiscoveryClient(asio::io_context& io, const Configuration& configuration) {
   return DiscoveryClient(io, parseAddress(configuration.discovery), configuration.discovery);
 }
 
@@ -35,12 +35,12 @@
                        ClientAdmission& admission, const RecoveryOptions& recovery, Callbacks callbacks)
     : recovery_started_at_(monotonicNow()),
       journal_(configuration.state_folder, {configuration.disk_bytes, configuration.durable}),
-      notifier_(discoveryClient(io, configuration),
+      notifier_(createDiscoveryClient(io, configuration),
                 [this](const std::string& message_id) { driver_.onNoticeAcknowledged(message_id); }),
       driver_(io, configuration.settings, configuration.seed, journal_, endpoints, notifier_,
-              std::move(callbacks.cancel_elsewhere)),
-      watch_(discoveryClient(io, configuration), configuration.seed,
-             [this](const json& answer) { return driver_.onEndpointList(answer); }),
+              std::move(callbacks.cancel_in_other_process)),
+      endpoint_watch_(createDiscoveryClient(io, configuration), configuration.seed,
+                      [this](const json& answer) { return driver_.onEndpointList(answer); }),
       clients_(io, listenForClients(io, configuration), admission,
                [this](SubmittedMessage message, ClientServer::ReplyCallback reply) {
                  driver_.submit(std::move(message), std::move(reply));
@@ -48,14 +48,14 @@
       handover_listener_(io, configuration.scratch_folder, std::move(callbacks.on_successor)) {
   driver_.recover(configuration.known_endpoints, recovery.calls_in_flight, recovery_started_at_,
                   recovery.keep_retry_after);
-  watch_.start(driver_.endpointListIndex());
+  endpoint_watch_.start(driver_.endpointListIndex());
 }
 
 void ActiveRole::stepDown() {
   handover_listener_.close();
   clients_.stop();
   driver_.stepDown();
-  watch_.stop();
+  endpoint_watch_.stop();
   notifier_.stop();
 }
 
@@ -68,7 +68,7 @@
 }
 
 void ActiveRole::changeDiscovery(const tcp::endpoint& server, const std::string& host) {
-  watch_.changeServer(server, host);
+  endpoint_watch_.changeServer(server, host);
   notifier_.changeServer(server, host);
 }
 
--- a/src/process/configuration.cpp
+++ b/src/process/configuration.cpp
@@ -15,10 +15,10 @@
 constexpr double kDefaultMemoryMegabytes = 64;
 constexpr double kDefaultDiskMegabytes = 3;
 constexpr double kBytesPerMegabyte = 1e6;
-// Larger limits are cut to this, so that no sum of them overflows.
+// Larger limits are reduced to this value, so that no sum of limits overflows.
 constexpr double kMaxLimit = 1e15;
 constexpr std::size_t kMaxSeedDigits = 16;
-constexpr int kHexadecimal = 16;
+constexpr int kHexadecimalBase = 16;
 constexpr std::size_t kMaxDescriptorDigits = 6;
 
 std::string environmentVariable(const char* name, const std::string& default_value) {
@@ -29,7 +29,7 @@
   return value;
 }
 
-// Empty if the variable is not set, or holds no descriptor's number, which is logged.
+// Empty if the variable is not set or its value is not the number of a descriptor. The latter is logged.
 std::optional<int> descriptorFromEnvironment(const char* name) {
   const std::string value = environmentVariable(name, "");
   if (value.empty()) {
@@ -62,21 +62,21 @@
   return ConfigurationFile(std::move(content));
 }
 
-// The file takes precedence over the environment: it may have been replaced since the process started.
+// The file takes precedence over the environment because it may have been replaced since the process started.
 std::string ConfigurationFile::discovery() const {
   return readString(content_, "discovery", environmentVariable("GW_DISCOVERY", "").c_str());
 }
 
 std::int64_t ConfigurationFile::sockets() const {
-  return limit("sockets", kDefaultSockets, 1);
+  return readLimit("sockets", kDefaultSockets, 1);
 }
 
 std::int64_t ConfigurationFile::memoryBytes() const {
-  return limit("memory_mb", kDefaultMemoryMegabytes, kBytesPerMegabyte);
+  return readLimit("memory_mb", kDefaultMemoryMegabytes, kBytesPerMegabyte);
 }
 
-std::int64_t ConfigurationFile::limit(const char* name, double default_value, double unit) const {
-  const double value = readNumber(readOptionalObject(content_, "limits"), name, default_value) * unit;
+std::int64_t ConfigurationFile::readLimit(const char* name, double default_value, double scale) const {
+  const double value = readNumber(readOptionalObject(content_, "limits"), name, default_value) * scale;
   return static_cast<std::int64_t>(std::min(std::max(value, 0.0), kMaxLimit));
 }
 
@@ -93,7 +93,7 @@
       digits.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos) {
     throw InvalidInput(InputProblem::malformed, "seed", "not a hexadecimal number: seed");
   }
-  return std::stoull(digits, nullptr, kHexadecimal);
+  return std::stoull(digits, nullptr, kHexadecimalBase);
 }
 
 Configuration ConfigurationFile::configuration() const {
@@ -109,7 +109,7 @@
   configuration.passed_socket = descriptorFromEnvironment("GW_PASSED_SOCKET");
   configuration.seed = seed();
   configuration.disk_bytes =
-      static_cast<std::uint64_t>(limit("disk_mb", kDefaultDiskMegabytes, kBytesPerMegabyte));
+      static_cast<std::uint64_t>(readLimit("disk_mb", kDefaultDiskMegabytes, kBytesPerMegabyte));
   configuration.sockets = sockets();
   configuration.memory_bytes = memoryBytes();
   configuration.durable = readBoolean(content_, "durable", false);
--- a/src/process/configuration.h
+++ b/src/process/configuration.h
@@ -1,4 +1,5 @@
-// The configuration of the sender: a JSON file that $GW_CONFIG names, and environment variables.
+// The configuration of the sender, read from the JSON file that $GW_CONFIG names and from environment
+// variables.
 #pragma once
 
 #include <cstdint>
@@ -10,46 +11,49 @@
 
 namespace delivery {
 
+// Each member names the environment variable ($NAME) and the key of the file (`name`) that it is read from,
+// the one that takes precedence first.
 struct Configuration {
-  std::string listen;     // address for clients, "10.0.0.4:6379": $GW_LISTEN, or `listen`
-  std::string discovery;  // address of the discovery service: `discovery`, or $GW_DISCOVERY
-  std::string control;    // address for operators: $GW_CONTROL, or `control`; empty: there is none
-  // Folder that outlasts the process and holds journal and lock: $GW_STATE.
+  std::string listen;     // $GW_LISTEN, `listen`: the address for clients, such as "10.0.0.4:6379"
+  std::string discovery;  // `discovery`, $GW_DISCOVERY: the address of the discovery service
+  std::string control;    // $GW_CONTROL, `control`: the address for operators; empty if there is none
+  // $GW_STATE: the folder that holds the journal and the lock. It persists after the process has ended.
   std::string state_folder;
-  // Folder that both processes of an upgrade see and that holds the handover socket: $TMPDIR, or the state
-  // folder.
+  // $TMPDIR, by default the state folder: holds the handover socket, so both processes of an upgrade must
+  // have access to it.
   std::string scratch_folder;
-  // Descriptor of the clients' listening socket where the platform holds it: $GW_PASSED_SOCKET.
+  // $GW_PASSED_SOCKET: the descriptor of the listening socket for clients, if the platform opened it; empty
+  // otherwise.
   std::optional<int> passed_socket;
-  std::uint64_t seed = 0;         // of all random choices: `seed`, a number or up to 16 hexadecimal digits
+  std::uint64_t seed = 0;         // `seed`, a number or up to 16 hexadecimal digits: seeds all random choices
   std::uint64_t disk_bytes = 0;   // `limits.disk_mb`
-  std::int64_t sockets = 0;       // descriptors that this process may have open: `limits.sockets`
+  std::int64_t sockets = 0;       // `limits.sockets`: how many descriptors this process may have open
   std::int64_t memory_bytes = 0;  // `limits.memory_mb`
-  bool durable = false;           // accepted messages survive a power cut: `durable`
-  json known_endpoints;  // the endpoint list to start with, in discovery's form: `known`; may be null
+  bool durable = false;           // `durable`: accepted messages survive a power cut
+  json known_endpoints;  // `known`: the endpoint list to start with, in discovery's form; may be null
   Settings settings;     // `settings`, see protocol/settings_reader.h
 };
 
-// The configuration file as it is now. What can be changed while the process runs is read from it one by one,
-// so that an error in one part leaves the parts before it in force.
+// The content of the configuration file at the time of load(). The values that can be changed while the
+// process runs are read one by one, so that an error in one of them leaves the values before it in force.
 class ConfigurationFile {
  public:
-  // Reads the file. Throws InvalidInput if $GW_CONFIG is not set or names no readable file with a JSON
-  // object.
+  // Reads the file. Throws InvalidInput if $GW_CONFIG is not set, or if the file can't be read or does not
+  // hold a JSON object.
   static ConfigurationFile load();
 
-  // Each throws InvalidInput that names the field.
+  // Each of these throws InvalidInput that names the field if a value is missing or invalid.
   std::string discovery() const;
   std::int64_t sockets() const;
   std::int64_t memoryBytes() const;
-  // Everything, with the environment.
+  // Reads the whole configuration from the file and the environment.
   Configuration configuration() const;
 
  private:
   explicit ConfigurationFile(json content) : content_(std::move(content)) {}
 
   std::uint64_t seed() const;
-  std::int64_t limit(const char* name, double default_value, double unit) const;
+  std::int64_t readLimit(const char* name, double default_value, double scale) const;
 
   json content_;
 };
--- a/src/process/decision_driver.cpp
+++ b/src/process/decision_driver.cpp
@@ -25,14 +25,15 @@
   return arrival;
 }
 
-// After these results the endpoint is known not to have processed the message.
+// True if an attempt with this result was certainly not processed by the endpoint.
 bool neverRan(AttemptResult result) {
   return result == AttemptResult::throttled || result == AttemptResult::connect_failed ||
          result == AttemptResult::not_sent;
 }
 
-std::int64_t listIndex(const json& list) {
-  return readNumber(list, "index", -1);
+// The version of a stored or configured endpoint list; EndpointList::kNoIndex if it names none.
+std::int64_t endpointListIndexOf(const json& list) {
+  return readNumber(list, "index", EndpointList::kNoIndex);
 }
 
 void logRecovery(const Journal::Recovered& recovered, std::size_t messages, std::size_t pending_notices,
@@ -60,15 +61,15 @@
 
 DecisionDriver::DecisionDriver(asio::io_context& io, Settings settings, std::uint64_t seed, Journal& journal,
                                EndpointPool& endpoints, CompletionNotifier& notifier,
-                               CancelElsewhere cancel_elsewhere)
+                               CancelInOtherProcess cancel_in_other_process)
     : io_(io),
       settings_(settings),
       scheduler_(std::move(settings), seed),
       journal_(journal),
       endpoints_(endpoints),
       notifier_(notifier),
-      cancel_elsewhere_(std::move(cancel_elsewhere)),
-      turn_timer_(io),
+      cancel_in_other_process_(std::move(cancel_in_other_process)),
+      round_timer_(io),
       wakeup_timer_(io) {}
 
 // ---- Recovery
@@ -90,12 +91,13 @@
   journal_.discardRecovered();
 }
 
-// The newer of the two lists counts, so that a drain that was announced before a restart is not forgotten.
+// Uses the newer of the two lists, so that a drain that was announced before a restart stays in force.
 void DecisionDriver::recoverEndpointList(const json& configured_endpoints,
                                          const std::string& journaled_list) {
   json list = configured_endpoints;
   const json journaled = json::parse(journaled_list, nullptr, false);
-  if (journaled.is_object() && (!list.is_object() || listIndex(journaled) >= listIndex(list))) {
+  if (journaled.is_object() &&
+      (!list.is_object() || endpointListIndexOf(journaled) >= endpointListIndexOf(list))) {
     list = journaled;
   }
   if (!list.is_object() || list.empty()) {
@@ -135,7 +137,8 @@
   addEvent(std::move(recovered));
 }
 
-// The endpoint has left the list, but the outcome of a call to it still counts, and so does its Retry-After.
+// Tells the decision module about an endpoint that has left the list and still has a call in flight: the
+// outcome and the Retry-After of that call still count.
 void DecisionDriver::addUnlistedEndpoint(const std::string& endpoint, std::int64_t destination) {
   EndpointInfo removed;
   removed.id = endpoint;
@@ -150,7 +153,7 @@
   const EndpointListUpdate update = endpoint_list_.apply(answer);
   if (!update.endpoints.empty() || update.kind != EndpointUpdateKind::delta) {
     journal_.recordEndpointList(endpoint_list_.toJson().dump());
-    // Attempts are started in turns only, so none starts before the module has seen the update.
+    // Attempts are started in decision rounds only, so none starts before the module has seen the update.
     applyEndpointUpdate(update);
   }
   return endpoint_list_.index();
@@ -169,7 +172,7 @@
   addEvent(std::move(changed));
 }
 
-// What a full list does not name has been removed.
+// An endpoint that a full list does not name has been removed.
 void DecisionDriver::withdrawUnlistedEndpoints() {
   for (const std::string& endpoint : endpoints_.knownEndpoints()) {
     if (endpoint_list_.contains(endpoint)) {
@@ -219,6 +222,7 @@
   addEvent(std::move(arrival));
 }
 
+// The reply to a message that the decision module need not see; empty if it has to decide.
 std::optional<SubmitReply> DecisionDriver::replyWithoutDecision(const SubmittedMessage& message) const {
   const bool known_class =
       std::any_of(settings_.classes.begin(), settings_.classes.end(),
@@ -241,11 +245,11 @@
 }
 
 void DecisionDriver::onOutcome(AttemptOutcome outcome) {
-  const auto it = pending_messages_.find(outcome.id);
-  if (it != pending_messages_.end()) {
-    const PendingMessage& pending = it->second;
-    // Another process may have received the Retry-After: calls of this process that are not written yet have
-    // to respect it, too.
+  const auto found = pending_messages_.find(outcome.id);
+  if (found != pending_messages_.end()) {
+    const PendingMessage& pending = found->second;
+    // Another process may have received the Retry-After. It also applies to the calls of this process whose
+    // requests are not written yet.
     if (outcome.retry_after > 0 && outcome.attempt < static_cast<int>(pending.attempt_endpoints.size())) {
       endpoints_.onRetryAfter(pending.attempt_endpoints[static_cast<std::size_t>(outcome.attempt)],
                               pending.message.destination);
@@ -266,8 +270,8 @@
   }
 }
 
-// The record is written with the next turn. A restart before that sends the notice a second time, which is
-// harmless.
+// The record is written in the next round. If the process restarts before that, the notice is sent a second
+// time, which is harmless.
 void DecisionDriver::onNoticeAcknowledged(const std::string& message_id) {
   journal_.recordCompleted(message_id);
 }
@@ -276,63 +280,64 @@
   addEvent(ShutdownScheduled{at});
 }
 
-// ---- Turns
+// ---- Decision rounds
 
-// At once, or when the shortest gap between two turns (Settings::tick) has passed.
-void DecisionDriver::scheduleTurn() {
-  turn_scheduled_ = true;
-  const auto run_if_still_due = [this] {
-    if (turn_scheduled_ && !stepped_down_) {
-      runTurn();
+// The next round runs as soon as the event loop gets to it, but not before Settings::tick has passed since
+// the last one.
+void DecisionDriver::scheduleRound() {
+  round_scheduled_ = true;
+  const auto run_if_still_scheduled = [this] {
+    if (round_scheduled_ && !stepped_down_) {
+      runRound();
     }
   };
-  const Micros delay = last_turn_ + settings_.tick - monotonicNow();
+  const Micros delay = last_round_at_ + settings_.tick - monotonicNow();
   if (delay <= 0) {
-    asio::post(io_, run_if_still_due);
+    asio::post(io_, run_if_still_scheduled);
     return;
   }
-  turn_timer_.expires_after(std::chrono::microseconds(delay));
-  turn_timer_.async_wait([run_if_still_due](const boost::system::error_code& cancelled) {
+  round_timer_.expires_after(std::chrono::microseconds(delay));
+  round_timer_.async_wait([run_if_still_scheduled](const boost::system::error_code& cancelled) {
     if (!cancelled) {
-      run_if_still_due();
+      run_if_still_scheduled();
     }
   });
 }
 
-void DecisionDriver::runTurn() {
-  turn_scheduled_ = false;
-  turn_timer_.cancel();
-  last_turn_ = std::max(last_turn_ + 1, monotonicNow());
+void DecisionDriver::runRound() {
+  round_scheduled_ = false;
+  round_timer_.cancel();
+  last_round_at_ = std::max(last_round_at_ + 1, monotonicNow());
   std::vector<Event> events;
   events.swap(events_);
-  carryOut(scheduler_.decide(last_turn_, events));
+  executeActions(scheduler_.decide(last_round_at_, events));
 }
 
 void DecisionDriver::stepDown() {
   if (!events_.empty()) {
-    runTurn();
+    runRound();
   }
   journal_.close();
   stepped_down_ = true;
   wakeup_times_.clear();
-  turn_timer_.cancel();
+  round_timer_.cancel();
   wakeup_timer_.cancel();
 }
 
 // ---- Actions
 
-// Rejected messages need no record, so they end first. All else is persisted before it is acknowledged or
-// sent.
-void DecisionDriver::carryOut(const std::vector<Action>& actions) {
+// Rejected messages that the client still waits for need no record, so messages are ended first. Everything
+// else is persisted before it is acknowledged or sent.
+void DecisionDriver::executeActions(const std::vector<Action>& actions) {
   endMessagesAndRecordHealth(actions);
   recordAcceptedMessages();
-  const AttemptNumbers attempts = recordAttempts(actions);
+  const AttemptNumbers attempt_numbers = recordAttempts(actions);
   const bool persisted = journal_.flush();
   if (!persisted) {
     logFlushFailure(journal_);
   }
   acknowledgeAcceptedMessages(persisted);
-  useNetworkAndTimers(actions, attempts, persisted);
+  executeNetworkAndTimerActions(actions, attempt_numbers, persisted);
   armWakeupTimer();
 }
 
@@ -349,16 +354,16 @@
   }
 }
 
-// A client that still waits gets `reply`; if the message was accepted in an earlier turn, the platform gets
-// `notice`.
+// Ends a message without delivery. A client that still waits for its answer receives `reply`. If the message
+// was accepted in an earlier round, the platform receives `notice` instead.
 void DecisionDriver::endMessage(const std::string& id, const SubmitReply& reply,
                                 const CompletionNotice& notice) {
-  const auto it = pending_messages_.find(id);
-  if (it == pending_messages_.end()) {
+  const auto found = pending_messages_.find(id);
+  if (found == pending_messages_.end()) {
     return;
   }
-  const ClientServer::ReplyCallback send_reply = std::move(it->second.reply);
-  pending_messages_.erase(it);
+  const ClientServer::ReplyCallback send_reply = std::move(found->second.reply);
+  pending_messages_.erase(found);
   if (send_reply) {
     new_message_ids_.erase(id);
     send_reply(reply);
@@ -375,25 +380,26 @@
 }
 
 DecisionDriver::AttemptNumbers DecisionDriver::recordAttempts(const std::vector<Action>& actions) {
-  AttemptNumbers attempts;
+  AttemptNumbers attempt_numbers;
   for (const Action& action : actions) {
     const auto* send = std::get_if<SendAttempt>(&action);
     if (send == nullptr) {
       continue;
     }
-    const auto it = pending_messages_.find(send->id);
-    if (it == pending_messages_.end()) {
+    const auto found = pending_messages_.find(send->id);
+    if (found == pending_messages_.end()) {
       continue;
     }
     journal_.recordAttempt(send->id, {send->endpoint, monotonicNow(), false});
-    std::vector<std::string>& endpoints = it->second.attempt_endpoints;
-    attempts.emplace(send, static_cast<int>(endpoints.size()));
+    std::vector<std::string>& endpoints = found->second.attempt_endpoints;
+    attempt_numbers.emplace(send, static_cast<int>(endpoints.size()));
     endpoints.push_back(send->endpoint);
   }
-  return attempts;
+  return attempt_numbers;
 }
 
-// A message that could not be persisted is rejected, as a restart would forget it.
+// Answers the clients of the messages that were accepted in this round. Messages that could not be persisted
+// are rejected, as they would be lost in a restart.
 void DecisionDriver::acknowledgeAcceptedMessages(bool persisted) {
   for (const std::string& id : new_message_ids_) {
     const ClientServer::ReplyCallback send_reply = std::exchange(pending_messages_.at(id).reply, nullptr);
@@ -409,29 +415,30 @@
   new_message_ids_.clear();
 }
 
-void DecisionDriver::useNetworkAndTimers(const std::vector<Action>& actions, const AttemptNumbers& attempts,
-                                         bool persisted) {
+void DecisionDriver::executeNetworkAndTimerActions(const std::vector<Action>& actions,
+                                                   const AttemptNumbers& attempt_numbers, bool persisted) {
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<SendAttempt>(&action)) {
-      const auto attempt = attempts.find(send);
-      if (attempt != attempts.end()) {
-        startAttempt(*send, attempt->second, persisted);
+      const auto recorded = attempt_numbers.find(send);
+      if (recorded != attempt_numbers.end()) {
+        startAttempt(*send, recorded->second, persisted);
       }
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
       cancelAttempt(*cancel);
     } else if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
       endpoints_.closeIdle(close->endpoint);
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-      wakeup_times_.insert(last_turn_ + timer->delay);
+      wakeup_times_.insert(last_round_at_ + timer->delay);
     }
   }
 }
 
+// An attempt that could not be persisted is not started; its outcome is that the message was not sent.
 void DecisionDriver::startAttempt(const SendAttempt& send, int attempt, bool persisted) {
   if (persisted) {
     const SubmittedMessage& message = pending_messages_.at(send.id).message;
-    const Deadline until = std::min(Deadline::after(monotonicNow(), send.timeout), message.deadline);
-    endpoints_.startCall(message, attempt, send.endpoint, until);
+    const Deadline call_deadline = std::min(Deadline::after(monotonicNow(), send.timeout), message.deadline);
+    endpoints_.startCall(message, attempt, send.endpoint, call_deadline);
     return;
   }
   AttemptOutcome outcome;
@@ -445,12 +452,13 @@
   const CallId call{cancel.id, cancel.attempt};
   const bool in_flight_here = endpoints_.cancel(call);
   if (!in_flight_here) {
-    cancel_elsewhere_(call);
+    cancel_in_other_process_(call);
   }
 }
 
-// ---- Timers of the module
+// ---- Timers of the decision module
 
+// Waits for the earliest requested time.
 void DecisionDriver::armWakeupTimer() {
   if (wakeup_times_.empty()) {
     return;
@@ -466,9 +474,9 @@
 
 void DecisionDriver::onWakeupTimer() {
   const auto first_later = wakeup_times_.upper_bound(monotonicNow());
-  const bool due = first_later != wakeup_times_.begin();
+  const bool any_due = first_later != wakeup_times_.begin();
   wakeup_times_.erase(wakeup_times_.begin(), first_later);
-  if (due) {
+  if (any_due) {
     addEvent(TimerFired{});
   }
   armWakeupTimer();
--- a/src/process/decision_driver.h
+++ b/src/process/decision_driver.h
@@ -1,6 +1,7 @@
-// Drives the decision module: passes it events in turns and carries out the actions that it returns. What an
-// action promises is in the journal before the action is done. No policy of its own; the rules are the
-// module's (src/decision).
+// Runs the decision module: passes it the events that have arrived, one batch for each decision round, and
+// executes the actions that it returns. An action that promises something to a client or sends a message is
+// recorded in the journal before it is executed. The driver has no policy of its own; the rules are in
+// src/decision.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -25,51 +26,62 @@
 
 namespace delivery {
 
-// Owns the messages that were submitted and not completed, and the endpoint list. All calls come from the
-// event loop's thread. The journal, the pool and the notifier must outlive it.
+// Owns the endpoint list and the messages that were submitted and are not completed. All member functions
+// must be called on the event loop's thread. The journal, the pool and the notifier must outlive the driver.
 class DecisionDriver {
  public:
-  // Cancels a call that is in flight from another process of this sender.
-  using CancelElsewhere = std::function<void(const CallId&)>;
+  // Cancels a call that is in flight in another process of this sender.
+  using CancelInOtherProcess = std::function<void(const CallId&)>;
 
   DecisionDriver(boost::asio::io_context& io, Settings settings, std::uint64_t seed, Journal& journal,
-                 EndpointPool& endpoints, CompletionNotifier& notifier, CancelElsewhere cancel_elsewhere);
-
-  // Restores what the journal and the configuration know; to be called once, before clients are served.
-  // `calls_in_flight`: calls of this process or another one in flight; onOutcome() follows for each,
-  // and the module sees those that are reported right after recover() in the same turn as the recovered
-  // messages. `started_at`: when reading the journal began, for the log. `after_handover`: the process before
-  // handed over in order, so the pauses (Retry-After) that its endpoints asked for still hold; a restart ends
-  // them.
+                 EndpointPool& endpoints, CompletionNotifier& notifier,
+                 CancelInOtherProcess cancel_in_other_process);
+
+  // Restores the state from the journal and the configuration. To be called once, before clients are served.
+  //
+  // `calls_in_flight`: the calls of this process or another one whose outcomes are still to be reported with
+  // onOutcome(). Outcomes that are reported right after recover() reach the decision module in the same round
+  // as the recovered messages.
+  // `started_at`: the time on the monotonic clock at which reading the journal began, for the log.
+  // `after_handover`: the predecessor handed over in an orderly way, so the pauses (Retry-After) that its
+  // endpoints asked for still apply. A restart ends them.
   void recover(const json& configured_endpoints, const std::set<CallId>& calls_in_flight, Micros started_at,
                bool after_handover);
 
-  // Decides on the events so far, writes the journal and closes it. Another driver decides from then on:
-  // later events are ignored.
+  // Runs a last round if events are queued, then flushes and closes the journal. Another driver decides from
+  // then on, and this one ignores later events.
   void stepDown();
 
-  // Applies discovery's answer and returns the index from which to watch on. Throws InvalidInput when the
-  // answer can't be read; then nothing has changed.
+  // Applies discovery's answer and returns the index from which to continue watching. Throws InvalidInput and
+  // changes nothing if the answer can't be read.
   std::int64_t onEndpointList(const json& answer);
   std::int64_t endpointListIndex() const { return endpoint_list_.index(); }
   bool hasEndpointList() const { return !known_destinations_.empty(); }
 
-  // Calls `reply` once: at once if the message needs no decision, else when the module has decided.
+  // Submits a message. `reply` is called once: before submit() returns if the message needs no decision,
+  // otherwise after the decision module has decided.
   void submit(SubmittedMessage message, ClientServer::ReplyCallback reply);
   void onOutcome(AttemptOutcome outcome);
   void onNoticeAcknowledged(const std::string& message_id);
-  void scheduleShutdown(Micros at);  // on the monotonic clock
+  // Announces that the process ends at `at`, a point on the monotonic clock.
+  void scheduleShutdown(Micros at);
 
+  // True if no event is queued and no message is pending.
   bool idle() const { return events_.empty() && pending_messages_.empty(); }
 
  private:
-  struct PendingMessage {  // submitted and not completed
+  // The value of last_round_at_ before the first round: far in the past, but no sum or difference with a span
+  // or a point in time overflows.
+  static constexpr Micros kNoRoundYet = INT64_MIN / 4;
+
+  // A message that was submitted and is not completed.
+  struct PendingMessage {
     SubmittedMessage message;
-    std::vector<std::string> attempt_endpoints;  // by attempt number
-    ClientServer::ReplyCallback reply;           // empty once the client has its answer
+    std::vector<std::string> attempt_endpoints;  // the endpoint of each attempt, by attempt number
+    ClientServer::ReplyCallback reply;           // empty once the client has been answered
   };
-  // The number of each attempt that the journal has recorded. An action whose message is no longer pending
-  // has none.
+  // The attempt number of each SendAttempt action that was recorded in the journal. Actions for messages that
+  // are no longer pending are not recorded and have no entry.
   using AttemptNumbers = std::map<const SendAttempt*, int>;
 
   void recoverEndpointList(const json& configured_endpoints, const std::string& journaled_list);
@@ -86,28 +98,29 @@
   std::optional<SubmitReply> replyWithoutDecision(const SubmittedMessage& message) const;
   void recordOutcome(const AttemptOutcome& outcome);
 
-  // Constructs the event in place: GCC 12 takes a moved temporary variant for one that is uninitialized.
+  // Queues an event for the next round. The event is constructed in place because GCC 12 reports a moved
+  // temporary variant as uninitialized.
   template <class EventType>
   void addEvent(EventType event) {
     if (stepped_down_) {
       return;
     }
     events_.emplace_back(std::in_place_type<EventType>, std::move(event));
-    if (!turn_scheduled_) {
-      scheduleTurn();
+    if (!round_scheduled_) {
+      scheduleRound();
     }
   }
-  void scheduleTurn();
-  void runTurn();
+  void scheduleRound();
+  void runRound();
 
-  void carryOut(const std::vector<Action>& actions);
+  void executeActions(const std::vector<Action>& actions);
   void endMessagesAndRecordHealth(const std::vector<Action>& actions);
   void endMessage(const std::string& id, const SubmitReply& reply, const CompletionNotice& notice);
   void recordAcceptedMessages();
   AttemptNumbers recordAttempts(const std::vector<Action>& actions);
   void acknowledgeAcceptedMessages(bool persisted);
-  void useNetworkAndTimers(const std::vector<Action>& actions, const AttemptNumbers& attempts,
-                           bool persisted);
+  void executeNetworkAndTimerActions(const std::vector<Action>& actions,
+                                     const AttemptNumbers& attempt_numbers, bool persisted);
   void startAttempt(const SendAttempt& send, int attempt, bool persisted);
   void cancelAttempt(const CancelAttempt& cancel);
 
@@ -120,17 +133,17 @@
   Journal& journal_;
   EndpointPool& endpoints_;
   CompletionNotifier& notifier_;
-  CancelElsewhere cancel_elsewhere_;
+  CancelInOtherProcess cancel_in_other_process_;
   EndpointList endpoint_list_;
-  std::set<std::int64_t> known_destinations_;               // those ever listed
+  std::set<std::int64_t> known_destinations_;               // every destination that was ever listed
   std::map<std::string, PendingMessage> pending_messages_;  // by message id
-  std::set<std::string> new_message_ids_;                   // submitted since the last turn
-  std::vector<Event> events_;                               // for the next turn
-  std::multiset<Micros> wakeup_times_;                      // that the module asked for, monotonic
-  boost::asio::steady_timer turn_timer_;
+  std::set<std::string> new_message_ids_;                   // messages submitted since the last round
+  std::vector<Event> events_;                               // queued for the next round
+  std::multiset<Micros> wakeup_times_;  // requested by the decision module, on the monotonic clock
+  boost::asio::steady_timer round_timer_;
   boost::asio::steady_timer wakeup_timer_;
-  Micros last_turn_ = INT64_MIN / 4;
-  bool turn_scheduled_ = false;
+  Micros last_round_at_ = kNoRoundYet;  // on the monotonic clock
+  bool round_scheduled_ = false;
   bool stepped_down_ = false;
 };
 
--- a/src/process/exit_condition.cpp
+++ b/src/process/exit_condition.cpp
@@ -3,13 +3,14 @@
 namespace delivery {
 namespace {
 
-// New clients may connect for up to 0.4 s after SIGTERM, until the platform has taken the address out of use.
+// How long a stopped process goes on serving new clients. They may connect for up to 0.4 s after SIGTERM,
+// until the platform has taken the address out of use.
 constexpr Micros kLateClientGrace = 600'000;
-// A process that released the journal and lost its successor waits this long for the lock; if it can't have
-// it by then, a third process has it.
+// How long a process that released the journal and lost its successor tries to lock the journal again. If it
+// can't lock it within this time, a third process owns it.
 constexpr Micros kReclaimTimeout = 1'000'000;
 
-// Without a stop the time since it is empty, which compares less than any span.
+// Without a stop, time_since_stop is empty and compares less than any span.
 bool mayExitActive(const ExitConditions& conditions) {
   return conditions.time_since_stop > kLateClientGrace && conditions.active_role_idle &&
          !conditions.calls_in_flight;
@@ -18,7 +19,7 @@
 bool mayExitReleased(const ExitConditions& conditions) {
   const bool stop_requested = conditions.time_since_stop.has_value();
   if (!conditions.has_successor) {
-    return stop_requested || conditions.waited_for_ownership > kReclaimTimeout;
+    return stop_requested || conditions.time_awaiting_ownership > kReclaimTimeout;
   }
   return (conditions.successor_serves || stop_requested) && !conditions.calls_in_flight &&
          conditions.all_sent_to_successor;
--- a/src/process/handover_link.cpp
+++ b/src/process/handover_link.cpp
@@ -19,12 +19,13 @@
 namespace {
 
 constexpr std::size_t kMaxLineBytes = 4U << 20U;
-// Socket addresses hold 108 bytes on Linux; this leaves some room.
+// Paths in Unix socket addresses hold 108 bytes on Linux. This limit is lower, as a safety margin.
 constexpr std::size_t kMaxAddressBytes = 100;
 constexpr char kLineEnd = '\n';
 
-// The path of the socket in a folder. A path that is too long for a socket address goes through a descriptor
-// of the folder, which stays open as long as this object.
+// The path of the handover socket in a folder. If that path is too long for a socket address, the path leads
+// through a descriptor of the folder instead; it is valid as long as this object, which keeps the descriptor
+// open.
 class SocketPath {
  public:
   explicit SocketPath(const std::string& folder) : path_(folder + "/handover") {
@@ -46,7 +47,7 @@
 
  private:
   std::string path_;
-  int folder_descriptor_ = -1;
+  int folder_descriptor_ = -1;  // -1: not open
 };
 
 }  // namespace
@@ -79,7 +80,8 @@
                          });
 }
 
-// False: the line can't be read. A process that sends such lines is treated as if it were gone.
+// Returns false if the line can't be read. A process that sends such a line is treated as if it had
+// disconnected.
 bool HandoverLink::handleLine(const std::string& line) {
   try {
     on_line_(line);
@@ -93,19 +95,19 @@
 void HandoverLink::send(const std::string& line) {
   unsent_lines_.push_back(line + kLineEnd);
   if (open_ && unsent_lines_.size() == 1) {
-    writeFirst();
+    writeNextLine();
   }
 }
 
-void HandoverLink::writeFirst() {
+void HandoverLink::writeNextLine() {
   asio::async_write(socket_, asio::buffer(unsent_lines_.front()),
                     [self = shared_from_this()](error_code error, std::size_t /*length*/) {
                       if (!self->open_ || error) {
-                        return;  // readLine() notices that the other process is gone
+                        return;  // the pending read reports that the connection has ended
                       }
                       self->unsent_lines_.pop_front();
                       if (!self->unsent_lines_.empty()) {
-                        self->writeFirst();
+                        self->writeNextLine();
                       }
                     });
 }
--- a/src/process/handover_successor.cpp
+++ b/src/process/handover_successor.cpp
@@ -25,7 +25,8 @@
   callbacks_.on_released();
 }
 
-// Outcomes of calls that the predecessor did not name have been written to the journal by it.
+// Ignores outcomes of calls that the predecessor did not name in its release: the predecessor itself has
+// written them to the journal.
 void HandoverSuccessor::handle(const AttemptOutcome& outcome) {
   const CallId call{outcome.id, outcome.attempt};
   if (calls_in_predecessor_.count(call) == 0) {
--- a/src/process/operator_commands.cpp
+++ b/src/process/operator_commands.cpp
@@ -7,7 +7,7 @@
 namespace delivery {
 namespace {
 
-// Operators' tools compare these texts; docs/on-call.md lists them.
+// The tools of operators compare these texts, so they must not change. docs/on-call.md lists them.
 std::string errorReply(Readiness readiness) {
   switch (readiness) {
     case Readiness::stopping:
--- a/src/process/ownership_lock.cpp
+++ b/src/process/ownership_lock.cpp
@@ -12,7 +12,7 @@
 
 constexpr mode_t kLockFileMode = 0644;
 
-struct flock wholeFile(short lock_type) {
+struct flock wholeFileRange(short lock_type) {
   struct flock range {};
   range.l_type = lock_type;
   range.l_whence = SEEK_SET;
@@ -25,7 +25,7 @@
   const std::string path = state_folder + "/lock";
   descriptor_ = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kLockFileMode);
   if (descriptor_ < 0) {
-    throw std::runtime_error("lock: " + path + ": " + std::strerror(errno));
+    throw std::runtime_error("cannot open the lock file " + path + ": " + std::strerror(errno));
   }
 }
 
@@ -34,19 +34,19 @@
 }
 
 bool OwnershipLock::tryAcquire() {
-  struct flock range = wholeFile(F_WRLCK);
+  struct flock range = wholeFileRange(F_WRLCK);
   return ::fcntl(descriptor_, F_SETLK, &range) == 0;
 }
 
 void OwnershipLock::release() {
-  struct flock range = wholeFile(F_UNLCK);
+  struct flock range = wholeFileRange(F_UNLCK);
   ::fcntl(descriptor_, F_SETLK, &range);
 }
 
 pid_t OwnershipLock::holder() const {
-  struct flock range = wholeFile(F_WRLCK);
-  const bool is_known = ::fcntl(descriptor_, F_GETLK, &range) == 0;
-  if (!is_known || range.l_type == F_UNLCK || range.l_pid <= 0) {
+  struct flock range = wholeFileRange(F_WRLCK);
+  const bool query_succeeded = ::fcntl(descriptor_, F_GETLK, &range) == 0;
+  if (!query_succeeded || range.l_type == F_UNLCK || range.l_pid <= 0) {
     return 0;
   }
   return range.l_pid;
--- a/src/process/sender_process.cpp
+++ b/src/process/sender_process.cpp
@@ -13,13 +13,16 @@
 
 namespace {
 
-// How often the state is polled while something is awaited that has no event.
+// The interval at which the state is polled while the process waits for something that causes no event.
 constexpr Micros kPollInterval = 10'000;
-// How long a successor waits for requests that have arrived in part. A client waits 400 ms for its answer.
+// How long a handover waits for the rest of requests that have arrived in part. It is shorter than the 400 ms
+// for which a client waits for its answer.
 constexpr Micros kPartialRequestGrace = 200'000;
-// An owner that has not handed over by then hangs and is killed: a replacement has to serve within 6 s.
+// An owner that has not handed over after this time is considered hung and is killed. The limit leaves time
+// for the replacement, which has to serve within 6 s.
 constexpr Micros kHungOwnerTimeout = 4'000'000;
-// A successor that does not serve by then gets no more time: this process tries to lock the journal again.
+// If the successor does not serve within this time after the release, this process tries to lock the journal
+// again.
 constexpr Micros kSuccessorStartTimeout = 2'000'000;
 
 constexpr std::int64_t kBytesPerMegabyte = 1'000'000;
@@ -50,10 +53,11 @@
           return executeOperatorCommand(line, readiness(), [this](bool draining) { setDraining(draining); });
         });
   }
-  // Both are used once this process owns the journal; an address that is wrong has to show at the start.
+  // Both addresses are used only once this process owns the journal. Parsing them here reports an invalid one
+  // at the start.
   parseAddress(configuration_.discovery);
   parseAddress(configuration_.listen);
-  waiting_since_ = monotonicNow();
+  awaiting_ownership_since_ = monotonicNow();
   advance();
 }
 
@@ -64,8 +68,8 @@
   return released_ ? OwnershipState::released : OwnershipState::waiting;
 }
 
-// Takes the steps that are due in the present state, and polls while something is awaited. A process that
-// only serves does not poll.
+// Takes the steps that are due in the present state, and polls while the process waits for something. A
+// process that only serves clients does not poll.
 void SenderProcess::advance() {
   if (finished_ || poll_scheduled_) {
     return;
@@ -86,7 +90,7 @@
     case OwnershipState::active:
       return;
     case OwnershipState::handing_over:
-      if (clientsAreDone()) {
+      if (clientRequestsCompleted()) {
         stepDown();
       }
       return;
@@ -122,7 +126,7 @@
   if (stop_requested_at_) {
     conditions.time_since_stop = now - *stop_requested_at_;
   }
-  conditions.waited_for_ownership = now - waiting_since_;
+  conditions.time_awaiting_ownership = now - awaiting_ownership_since_;
   conditions.active_role_idle = active_role_ && active_role_->idle();
   conditions.calls_in_flight = endpoints_.inFlightCount() > 0;
   conditions.has_successor = predecessor_role_.hasSuccessor();
@@ -131,10 +135,10 @@
   return mayExit(conditions);
 }
 
-// Locks the journal once its owner has released it or has ended. An owner that listens is asked to hand over,
-// one that hangs is killed.
+// Locks the journal once its owner has released it or has exited. An owner that accepts handover connections
+// is asked to hand over; an owner that hangs is killed.
 void SenderProcess::awaitOwnership() {
-  const bool owner_hangs = !released_ && monotonicNow() - waiting_since_ > kHungOwnerTimeout;
+  const bool owner_hangs = !released_ && monotonicNow() - awaiting_ownership_since_ > kHungOwnerTimeout;
   const bool may_acquire =
       !successor_role_.hasPredecessor() || successor_role_.predecessorReleased() || owner_hangs;
   if (may_acquire && !stop_requested_at_ && lock_.tryAcquire()) {
@@ -153,13 +157,13 @@
   }
 }
 
-// No accepted message is lost by this: they are in the journal.
+// Killing the owner loses no accepted message, as all of them are in the journal.
 void SenderProcess::killHungOwner() {
   const pid_t owner = lock_.holder();
   if (owner <= 0) {
     return;
   }
-  logWarning("handover", "owner_hangs_killed").field("pid", owner);
+  logWarning("handover", "hung_owner_killed").field("pid", owner);
   ::kill(owner, SIGKILL);
 }
 
@@ -171,7 +175,7 @@
   applyBudget(computeBudget(configuration_.sockets, configuration_.memory_bytes));
 }
 
-// This process owns the journal from here on.
+// To be called when this process has acquired the ownership lock.
 void SenderProcess::becomeActive() {
   predecessor_role_.endHandover();
   released_ = false;
@@ -183,7 +187,7 @@
     active_role_->onOutcome(std::move(outcome));
   }
   continues_earlier_process_ = true;
-  active_role_->setDraining(operators_drain_);
+  active_role_->setDraining(drained_by_operator_);
   successor_role_.announceServing();
   logInfo("process", "ready");
 }
@@ -191,15 +195,15 @@
 std::unique_ptr<ActiveRole> SenderProcess::createActiveRole() {
   return std::make_unique<ActiveRole>(
       io_, configuration_, endpoints_, connections_.clients,
-      ActiveRole::RecoveryOptions{callsInFlightAnywhere(), continues_earlier_process_},
+      ActiveRole::RecoveryOptions{unresolvedCalls(), continues_earlier_process_},
       ActiveRole::Callbacks{
           [this](const CallId& call) { successor_role_.cancelCall(call); },
           [this](std::shared_ptr<HandoverLink> successor) { onSuccessor(std::move(successor)); }});
 }
 
-// Calls whose outcomes the decision module has not seen: they have not ended, or ended while no process or
-// another one owned the journal.
-std::set<CallId> SenderProcess::callsInFlightAnywhere() const {
+// The calls whose outcomes the decision module has not seen. Either they have not ended, or they ended while
+// another process or none owned the journal.
+std::set<CallId> SenderProcess::unresolvedCalls() const {
   std::set<CallId> calls = successor_role_.callsInPredecessor();
   for (const CallId& call : endpoints_.callsInFlight()) {
     calls.insert(call);
@@ -222,8 +226,9 @@
   advance();
 }
 
-// Nobody waits for an answer, and clients have gone or had time to send the rest of their requests.
-bool SenderProcess::clientsAreDone() const {
+// True if no client waits for an answer, and all clients have disconnected or have had time to send the rest
+// of their requests.
+bool SenderProcess::clientRequestsCompleted() const {
   const bool waited_long_enough = monotonicNow() - predecessor_role_.acceptedAt() > kPartialRequestGrace;
   return !active_role_->hasUnansweredRequests() && (!active_role_->hasClients() || waited_long_enough);
 }
@@ -236,14 +241,15 @@
   lock_.release();
   released_ = true;
   released_at_ = monotonicNow();
-  waiting_since_ = released_at_;
+  awaiting_ownership_since_ = released_at_;
 }
 
-// This process goes on serving if it still owns the journal, else it tries to lock it again.
+// If this process still owns the journal, it accepts clients again; otherwise it tries to lock the journal
+// again.
 void SenderProcess::onSuccessorLost() {
-  waiting_since_ = monotonicNow();
+  awaiting_ownership_since_ = monotonicNow();
   if (active_role_) {
-    if (!operators_drain_ && !stop_requested_at_) {
+    if (!drained_by_operator_ && !stop_requested_at_) {
       active_role_->setDraining(false);
     }
     active_role_->resumeAccepting();
@@ -262,10 +268,11 @@
 void SenderProcess::onPredecessorLost(const std::set<CallId>& lost_calls) {
   applyBudget(computeBudget(configuration_.sockets, configuration_.memory_bytes));
   if (!active_role_) {
-    advance();  // recovery finds the lost calls in the journal
+    advance();  // the recovery will find the lost calls in the journal
     return;
   }
-  // They may have run. That says nothing of the endpoint, so they count as cancelled and not as failed.
+  // The lost calls may have run. They count as cancelled, not as failed, because losing them says nothing
+  // about the endpoint.
   for (const CallId& call : lost_calls) {
     AttemptOutcome outcome;
     outcome.id = call.message_id;
@@ -283,7 +290,7 @@
   }
 }
 
-// A drain or Retry-After also applies to calls that the predecessor has not written yet.
+// A drain or a Retry-After also applies to calls of the predecessor whose requests are not written yet.
 void SenderProcess::onCallsWithdrawn(const std::string& endpoint, std::optional<std::int64_t> destination) {
   if (destination) {
     successor_role_.forwardRetryAfter(endpoint, *destination);
@@ -306,14 +313,14 @@
     case OwnershipState::active:
       break;
   }
-  if (operators_drain_) {
+  if (drained_by_operator_) {
     return Readiness::draining;
   }
   return active_role_->hasEndpointList() ? Readiness::ready : Readiness::no_endpoint_list;
 }
 
 void SenderProcess::setDraining(bool draining) {
-  operators_drain_ = draining;
+  drained_by_operator_ = draining;
   active_role_->setDraining(draining);
 }
 
@@ -338,7 +345,7 @@
   }
 }
 
-// A predecessor that only completes its calls shares the descriptors with this process.
+// A predecessor that still completes its calls shares the limit on descriptors with this process.
 DescriptorBudget SenderProcess::computeBudget(std::int64_t sockets, std::int64_t memory_bytes) const {
   return computeDescriptorBudget({sockets, memory_bytes, configuration_.settings.call_slots},
                                  successor_role_.hasPredecessor());
--- a/src/process/sender_process.h
+++ b/src/process/sender_process.h
@@ -1,5 +1,6 @@
-// One process of a sender, from start to end: it acquires the ownership of the journal, serves, and hands
-// over to the process that replaces it. It wires the parts together and decides nothing about messages.
+// One process of a sender, from start to exit: it acquires the ownership of the journal, serves clients, and
+// hands over to the process that replaces it. This class connects the parts with each other and makes no
+// decision about messages.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -25,21 +26,23 @@
 
 class SenderProcess {
  public:
-  // Starts at once. `on_finished` is called when this process has nothing left to do. Throws InvalidInput,
-  // std::invalid_argument or std::runtime_error if the configuration can't be used.
+  // Starts right away. `on_finished` is called once, when this process has nothing left to do. Throws
+  // InvalidInput, std::invalid_argument or std::runtime_error if the configuration can't be used.
   SenderProcess(boost::asio::io_context& io, Configuration configuration, std::function<void()> on_finished);
   SenderProcess(const SenderProcess&) = delete;
   SenderProcess& operator=(const SenderProcess&) = delete;
 
-  // Graceful shutdown: finishes once nothing is pending or in flight, after kShutdownTimeout at the latest.
+  // Starts a graceful shutdown: the process finishes once nothing is pending or in flight, after
+  // kShutdownTimeout at the latest. Later calls do nothing.
   void stop();
 
-  // Watches and notifies another discovery service from now on. Throws std::invalid_argument if it is no
-  // address.
+  // From now on the endpoint list is watched, and completion notices are sent, at this address. Throws
+  // std::invalid_argument if it is not a valid address.
   void changeDiscovery(const std::string& address);
   const std::string& discovery() const { return configuration_.discovery; }
 
-  // New limits. Throws InvalidInput if they are too small; then the old ones stay.
+  // Applies new limits: the number of descriptors that this process may have open, and its memory. Throws
+  // InvalidInput and keeps the old limits if the new ones are too small.
   void changeLimits(std::int64_t sockets, std::int64_t memory_bytes);
 
  private:
@@ -49,29 +52,29 @@
   void schedulePoll();
   bool finished() const;
 
-  // Acquiring the ownership
+  // Acquiring the ownership of the journal
   void awaitOwnership();
   void tryConnectToPredecessor();
   void killHungOwner();
   void becomeActive();
-  std::set<CallId> callsInFlightAnywhere() const;
+  std::set<CallId> unresolvedCalls() const;
   std::unique_ptr<ActiveRole> createActiveRole();
 
-  // Handing it over
+  // Handing the ownership over to a successor
   void onSuccessor(std::shared_ptr<HandoverLink> successor);
-  bool clientsAreDone() const;
+  bool clientRequestsCompleted() const;
   void stepDown();
   void onSuccessorLost();
 
-  // The predecessor
+  // Events from the predecessor
   void onPredecessorOutcome(AttemptOutcome outcome);
   void onPredecessorLost(const std::set<CallId>& lost_calls);
 
-  // The calls of this process
+  // Events from the calls of this process
   void onOutcome(AttemptOutcome outcome);
   void onCallsWithdrawn(const std::string& endpoint, std::optional<std::int64_t> destination);
 
-  // Operators
+  // Commands of operators
   Readiness readiness() const;
   void setDraining(bool draining);
 
@@ -82,23 +85,23 @@
   Configuration configuration_;
   std::function<void()> on_finished_;
   OwnershipLock lock_;
-  HandoverSuccessor successor_role_;  // towards the process that this one replaces
+  HandoverSuccessor successor_role_;  // this process as the successor of the process that it replaces
   ConnectionAdmission connections_;
   EndpointPool endpoints_;
-  HandoverPredecessor predecessor_role_;  // towards the process that replaces this one
+  HandoverPredecessor predecessor_role_;  // this process as the predecessor of the one that replaces it
   std::optional<ControlServer> control_;
   boost::asio::steady_timer poll_timer_;
-  std::unique_ptr<ActiveRole> active_role_;                // while this process owns the journal
-  std::vector<std::unique_ptr<ActiveRole>> former_roles_;  // until the event loop has ended, see ActiveRole
+  std::unique_ptr<ActiveRole> active_role_;                // not null while this process owns the journal
+  std::vector<std::unique_ptr<ActiveRole>> former_roles_;  // kept until the event loop ends, see ActiveRole
 
-  // Points on the monotonic clock
-  std::optional<Micros> stop_requested_at_;
-  Micros waiting_since_ = 0;  // for the ownership
-  Micros released_at_ = 0;    // while released
+  // Points in time on the monotonic clock
+  std::optional<Micros> stop_requested_at_;  // empty until stop()
+  Micros awaiting_ownership_since_ = 0;      // start, release, or loss of the successor
+  Micros released_at_ = 0;                   // valid while released_
 
-  bool released_ = false;                   // this process had the ownership and released it
-  bool continues_earlier_process_ = false;  // a predecessor answered, or this process was active before
-  bool operators_drain_ = false;            // DRAIN was received, and no UNDRAIN since
+  bool released_ = false;                   // this process owned the journal and released it
+  bool continues_earlier_process_ = false;  // connected to a predecessor, or was active before
+  bool drained_by_operator_ = false;        // DRAIN was received, and no UNDRAIN since
   bool poll_scheduled_ = false;
   bool finished_ = false;
 };
--- a/tests/process/configuration_test.cpp
+++ b/tests/process/configuration_test.cpp
@@ -1,4 +1,4 @@
-// The configuration file and the environment variables beside it.
+// Tests of reading the configuration file and the environment variables.
 #include "process/configuration.h"
 
 #include "support/loopback.h"
@@ -11,7 +11,7 @@
 constexpr const char* kVariables[] = {"GW_CONFIG", "GW_LISTEN", "GW_DISCOVERY",    "GW_CONTROL",
                                       "GW_STATE",  "TMPDIR",    "GW_PASSED_SOCKET"};
 
-// The variables of the program are unset for the time of a test.
+// Unsets the environment variables of the program during each test and restores them afterwards.
 class ConfigurationTest : public testing::Test {
  public:
   ConfigurationTest() {
@@ -40,10 +40,10 @@
     ::setenv("GW_STATE", folder_.path().c_str(), 1);
   }
 
-  static json minimal() { return {{"settings", testSettings()}}; }
+  static json minimalFile() { return {{"settings", testSettings()}}; }
 
-  // The text of the error that reading the whole configuration gives.
-  static std::string error() {
+  // The text of the error that reading the whole configuration causes; empty if it succeeds.
+  static std::string configurationError() {
     try {
       ConfigurationFile::load().configuration();
       return "";
@@ -59,8 +59,8 @@
   std::map<std::string, std::string> saved_;
 };
 
-TEST_F(ConfigurationTest, DefaultsOfAMinimalFile) {
-  writeFile(minimal().dump());
+TEST_F(ConfigurationTest, AMinimalFileGivesTheDefaults) {
+  writeFile(minimalFile().dump());
   const Configuration configuration = ConfigurationFile::load().configuration();
   EXPECT_EQ("", configuration.listen);
   EXPECT_EQ("", configuration.discovery);
@@ -77,10 +77,10 @@
   EXPECT_EQ(3U, configuration.settings.classes.size());
 }
 
-// For discovery the file comes first, which may be newer than the environment; for the other addresses the
-// environment does.
-TEST_F(ConfigurationTest, FileAndEnvironment) {
-  json file = minimal();
+// For the address of discovery the file takes precedence, as it may be newer than the environment. For the
+// other addresses the environment takes precedence.
+TEST_F(ConfigurationTest, PrecedenceOfFileAndEnvironment) {
+  json file = minimalFile();
   file.update({{"listen", "a:1"}, {"discovery", "b:2"}, {"control", "c:3"}, {"seed", "8c1F"}});
   file["limits"] = {{"sockets", 200}, {"memory_mb", 1.5}, {"disk_mb", 0.25}};
   file["durable"] = true;
@@ -111,7 +111,7 @@
   EXPECT_EQ("e:5", ConfigurationFile::load().discovery());
 }
 
-TEST_F(ConfigurationTest, LimitsAreCutToARangeThatCannotOverflow) {
+TEST_F(ConfigurationTest, LimitsAreClampedToARangeThatCannotOverflow) {
   writeFile(R"({"limits":{"sockets":-5,"memory_mb":1e300}})");
   const ConfigurationFile file = ConfigurationFile::load();
   EXPECT_EQ(0, file.sockets());
@@ -119,39 +119,39 @@
 }
 
 TEST_F(ConfigurationTest, APassedSocketThatIsNoNumberIsIgnored) {
-  writeFile(minimal().dump());
+  writeFile(minimalFile().dump());
   for (const char* value : {"x", "-1", "1234567", "5 "}) {
     ::setenv("GW_PASSED_SOCKET", value, 1);
     EXPECT_FALSE(ConfigurationFile::load().configuration().passed_socket) << value;
   }
 }
 
-// Operators find these texts in the log.
-TEST_F(ConfigurationTest, ErrorsNameWhatIsWrong) {
-  EXPECT_EQ("GW_CONFIG is not set", error());
+// Operators read these texts in the log.
+TEST_F(ConfigurationTest, ErrorTextsNameTheInvalidFieldOrVariable) {
+  EXPECT_EQ("GW_CONFIG is not set", configurationError());
   ::setenv("GW_CONFIG", "/nonexistent", 1);
-  EXPECT_EQ("can't be read: /nonexistent", error());
+  EXPECT_EQ("can't be read: /nonexistent", configurationError());
   const std::string path = stateFolder() + "/config.json";
   for (const char* text : {"", "{", "[1]"}) {
     writeFile(text);
-    EXPECT_EQ("not a JSON object: " + path, error()) << text;
+    EXPECT_EQ("not a JSON object: " + path, configurationError()) << text;
   }
   writeFile("{}");
-  EXPECT_EQ("missing field settings", error());
+  EXPECT_EQ("missing field settings", configurationError());
   ::unsetenv("GW_STATE");
-  EXPECT_EQ("GW_STATE is not set", error());
+  EXPECT_EQ("GW_STATE is not set", configurationError());
   writeFile(R"({"listen":7})");
-  EXPECT_EQ("not a text: listen", error());
+  EXPECT_EQ("not a text: listen", configurationError());
   for (const char* seed : {R"("")", R"("xyz")", R"("123456789abcdef01")"}) {
     writeFile(std::string(R"({"seed":)") + seed + "}");
-    EXPECT_EQ("not a hexadecimal number: seed", error()) << seed;
+    EXPECT_EQ("not a hexadecimal number: seed", configurationError()) << seed;
   }
   writeFile(R"({"seed":-1})");
-  EXPECT_EQ("not a text: seed", error());
+  EXPECT_EQ("not a text: seed", configurationError());
   writeFile(R"({"limits":{"sockets":"many"}})");
-  EXPECT_EQ("not a number: sockets", error());
+  EXPECT_EQ("not a number: sockets", configurationError());
   writeFile(R"({"known":[]})");
-  EXPECT_EQ("not an object: known", error());
+  EXPECT_EQ("not an object: known", configurationError());
 }
 
 }  // namespace
--- a/tests/process/control_test.cpp
+++ b/tests/process/control_address_test.cpp
@@ -1,4 +1,4 @@
-// The control address and the drain by operators, on the whole program.
+// Tests of the control address and of draining by operators, with the whole message_sender program.
 #include "support/loopback.h"
 
 namespace delivery {
@@ -6,7 +6,7 @@
 
 using namespace loopback;
 
-TEST(ControlAddress, ReadyTellsWhetherTheProgramServes) {
+TEST(ControlAddress, ReadyReportsWhetherTheProgramServes) {
   SenderSetup setup(respondOk);
   EXPECT_EQ("OK ready", setup.program.sendCommand("READY"));
   SenderClient crlf(setup.program.controlPort());
@@ -15,7 +15,7 @@
   EXPECT_TRUE(crlf.waitForClose());
 }
 
-// Destinations are known from the endpoint list alone: without one each message would be rejected.
+// Only the endpoint list tells which destinations exist. Without a list every message would be rejected.
 TEST(ControlAddress, IsNotReadyWithoutAnEndpointList) {
   TempFolder folder;
   HttpServer endpoint(respondOk);
@@ -35,16 +35,16 @@
   SenderClient overlong(setup.program.controlPort());
   overlong.send(std::string(100'000, 'R'));
   EXPECT_EQ(0u, overlong.readLine("\n").find("ERR"));
-  SenderClient half(setup.program.controlPort()), silent(setup.program.controlPort());
-  half.send("REA");
-  EXPECT_TRUE(half.waitForClose());
+  SenderClient incomplete(setup.program.controlPort()), silent(setup.program.controlPort());
+  incomplete.send("REA");
+  EXPECT_TRUE(incomplete.waitForClose());
   EXPECT_TRUE(silent.waitForClose());
   EXPECT_EQ("OK ready", setup.program.sendCommand("READY"));
 }
 
-// More callers stall than there are descriptors for, and clients fill their own table: operators are
-// answered.
-TEST(ControlAddress, AnswersWhileCallersStallAndClientsFillTheirTable) {
+// Operators are answered while more connections to the control address stall than it has descriptors for, and
+// while clients fill their connection table.
+TEST(ControlAddress, AnswersWhileOtherConnectionsStallAndClientsFillTheirTable) {
   SenderSetup setup(respondOk);
   std::vector<std::unique_ptr<SenderClient>> crowd;
   crowd.reserve(1140);
@@ -58,8 +58,9 @@
   EXPECT_EQ("OK ready", setup.program.sendCommand("READY"));
 }
 
-// While draining, PING fails and connections are closed between requests, after their answers; accepted
-// messages are delivered, and the program goes on. UNDRAIN ends it.
+// While the program drains, PING is answered with an error, connections are closed between requests after
+// their answers have been sent, and accepted messages are delivered. The program continues to run, and
+// UNDRAIN ends the drain.
 TEST(OperatorDrain, ClosesClientConnectionsAndDeliversAcceptedMessages) {
   std::atomic<bool> full{true};
   SenderSetup setup([&](const ReceivedRequest&) {
@@ -81,7 +82,7 @@
   EXPECT_EQ(0u, late.sendRequest({"PING"}).find("-ERR"));
   EXPECT_TRUE(late.hasNoMoreLines());
   EXPECT_TRUE(silent.waitForClose());
-  EXPECT_EQ(0u, setup.program.sendCommand("DRAIN").find("OK"));  // once more changes nothing
+  EXPECT_EQ(0u, setup.program.sendCommand("DRAIN").find("OK"));  // a second DRAIN changes nothing
   full = false;
   EXPECT_TRUE(eventually([&] {
     std::set<std::string> ids;
@@ -92,9 +93,9 @@
   }));
   EXPECT_EQ(0u, setup.program.sendCommand("UNDRAIN").find("OK"));
   EXPECT_EQ("OK ready", setup.program.sendCommand("READY"));
-  SenderClient back(setup.program.port());
-  EXPECT_EQ("+PONG", back.sendRequest({"PING"}));
-  EXPECT_EQ("+OK", back.submit("after", "notice", 7));
+  SenderClient returning(setup.program.port());
+  EXPECT_EQ("+PONG", returning.sendRequest({"PING"}));
+  EXPECT_EQ("+OK", returning.submit("after", "notice", 7));
 }
 
 }  // namespace
--- a/tests/process/exit_condition_test.cpp
+++ b/tests/process/exit_condition_test.cpp
@@ -1,4 +1,4 @@
-// When a process has nothing left to do, state by state.
+// Tests of the rule that decides when a process exits, for each ownership state.
 #include "process/exit_condition.h"
 
 #include <gtest/gtest.h>
@@ -15,11 +15,11 @@
   return conditions;
 }
 
-TEST(ExitCondition, WithoutAStopAProcessThatServesOrWaitsGoesOn) {
+TEST(ExitCondition, WithoutAStopAProcessThatServesOrWaitsKeepsRunning) {
   for (const OwnershipState state :
        {OwnershipState::waiting, OwnershipState::active, OwnershipState::handing_over}) {
     ExitConditions conditions = idleIn(state);
-    conditions.waited_for_ownership = 100 * kSecond;
+    conditions.time_awaiting_ownership = 100 * kSecond;
     EXPECT_FALSE(mayExit(conditions));
   }
 }
@@ -30,7 +30,7 @@
   EXPECT_TRUE(mayExit(conditions));
 }
 
-TEST(ExitCondition, AStopEndsAnActiveProcessOnceItIsIdleAndLateClientsCame) {
+TEST(ExitCondition, AStopEndsAnActiveProcessOnceItIsIdleAndTheGracePeriodForLateClientsHasPassed) {
   ExitConditions conditions = idleIn(OwnershipState::active);
   conditions.time_since_stop = 600'000;
   EXPECT_FALSE(mayExit(conditions));
@@ -55,19 +55,19 @@
   }
 }
 
-TEST(ExitCondition, AProcessThatHandsOverStaysUntilItHasReleasedTheJournal) {
+TEST(ExitCondition, AProcessThatHandsOverKeepsRunningUntilItHasReleasedTheJournal) {
   ExitConditions conditions = idleIn(OwnershipState::handing_over);
   conditions.has_successor = true;
   conditions.time_since_stop = 3'399'999;
   EXPECT_FALSE(mayExit(conditions));
 }
 
-TEST(ExitCondition, AProcessThatHandedOverEndsOnceItsCallsEndedAndTheSuccessorKnows) {
+TEST(ExitCondition, AProcessThatHandedOverEndsOnceItsCallsEndedAndTheSuccessorHasTheirOutcomes) {
   ExitConditions conditions;
   conditions.ownership = OwnershipState::released;
   conditions.has_successor = true;
   conditions.all_sent_to_successor = true;
-  conditions.waited_for_ownership = 100 * kSecond;
+  conditions.time_awaiting_ownership = 100 * kSecond;
   EXPECT_FALSE(mayExit(conditions));
   conditions.successor_serves = true;
   EXPECT_TRUE(mayExit(conditions));
@@ -82,15 +82,15 @@
   EXPECT_TRUE(mayExit(conditions));
 }
 
-TEST(ExitCondition, AProcessThatLostItsSuccessorEndsIfItCannotReclaimTheJournal) {
+TEST(ExitCondition, AProcessThatLostItsSuccessorEndsIfItCannotLockTheJournalAgain) {
   ExitConditions conditions;
   conditions.ownership = OwnershipState::released;
   conditions.calls_in_flight = true;
-  conditions.waited_for_ownership = kSecond;
+  conditions.time_awaiting_ownership = kSecond;
   EXPECT_FALSE(mayExit(conditions));
-  conditions.waited_for_ownership = kSecond + 1;
+  conditions.time_awaiting_ownership = kSecond + 1;
   EXPECT_TRUE(mayExit(conditions));
-  conditions.waited_for_ownership = 0;
+  conditions.time_awaiting_ownership = 0;
   conditions.time_since_stop = 0;
   EXPECT_TRUE(mayExit(conditions));
 }
--- a/tests/process/handover_compatibility_test.cpp
+++ b/tests/process/handover_compatibility_test.cpp
@@ -1,6 +1,7 @@
-// A handover between two processes of an earlier version, recorded line by line (tests/data/handover, and
-// tests/data/README.md says how): the lines of each side are played to a real process of this version, which
-// takes the other side's part.
+// Tests that this version can hand over to, and take over from, an earlier version. A handover between two
+// processes of an earlier version was recorded line by line (tests/data/handover; tests/data/README.md
+// describes how). Each test replays the lines of one side to a real process of this version, which takes the
+// role of the other side.
 #include <gtest/gtest.h>
 #include <sys/un.h>
 
@@ -19,12 +20,15 @@
 using namespace loopback;
 using CallKey = std::pair<std::string, int>;
 
-const std::string kFolder = std::string(TEST_DATA_DIR) + "/handover/";
-constexpr int kFull = 2, kTimeout = 3, kConnectFailed = 4,
-              kNotSent = 7;  // results as they stand in the lines
+const std::string kRecordingFolder = std::string(TEST_DATA_DIR) + "/handover/";
+// The result codes of outcomes in the recorded lines.
+constexpr int kThrottled = 2;
+constexpr int kTimeout = 3;
+constexpr int kConnectFailed = 4;
+constexpr int kNotSent = 7;
 
-std::vector<json> jsonLines(const std::string& name) {
-  std::ifstream file(kFolder + name);
+std::vector<json> readJsonLines(const std::string& name) {
+  std::ifstream file(kRecordingFolder + name);
   EXPECT_TRUE(file) << name;
   std::vector<json> lines;
   for (std::string line; std::getline(file, line);) {
@@ -34,13 +38,14 @@
   return lines;
 }
 
-// The recorded names of the two sides.
-const std::string kPredecessorSide = "older", kSuccessorSide = "newer";
+// The names of the two sides in the recording.
+const std::string kPredecessorSide = "older";
+const std::string kSuccessorSide = "newer";
 
-// The lines that one side sent, unchanged.
-std::vector<std::string> linesOf(const std::string& side) {
+// The recorded lines that one side sent, unchanged.
+std::vector<std::string> linesSentBy(const std::string& side) {
   std::vector<std::string> lines;
-  for (const json& recorded : jsonLines("exchange.jsonl")) {
+  for (const json& recorded : readJsonLines("exchange.jsonl")) {
     if (recorded.at("from") == side) {
       lines.push_back(recorded.at("line"));
     }
@@ -48,6 +53,7 @@
   return lines;
 }
 
+// The calls that a `release` line names.
 std::set<CallKey> callsIn(const json& release) {
   std::set<CallKey> calls;
   for (const json& call : release) {
@@ -56,7 +62,8 @@
   return calls;
 }
 
-json settings(double objective_ms) {
+// Test settings with this latency objective, and with limits that no call reaches during a test.
+json settingsWithObjective(double objective_ms) {
   json values = testSettings();
   values["Ceilings"]["DialTimeoutMs"] = 100000.0;
   values["Domain"]["CallSlots"] = 20;
@@ -67,6 +74,7 @@
   return values;
 }
 
+// A Unix socket that either listens or carries lines.
 class UnixSocket {
  public:
   UnixSocket() : fd_(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0)) {}
@@ -89,7 +97,7 @@
     EXPECT_EQ(static_cast<ssize_t>(bytes.size()), ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL))
         << line;
   }
-  // The next line; empty: the other side has closed the connection, or sends nothing.
+  // Waits for the next line. Empty if the other side has closed the connection or sends nothing.
   std::string readLine() {
     for (;;) {
       const auto end = received_.find('\n');
@@ -98,12 +106,12 @@
         received_.erase(0, end + 1);
         return first;
       }
-      char piece[4096];
-      const ssize_t size = waitUntilReadable() ? ::recv(fd_, piece, sizeof piece, 0) : 0;
+      char chunk[4096];
+      const ssize_t size = waitUntilReadable() ? ::recv(fd_, chunk, sizeof chunk, 0) : 0;
       if (size <= 0) {
         return "";
       }
-      received_.append(piece, static_cast<std::size_t>(size));
+      received_.append(chunk, static_cast<std::size_t>(size));
     }
   }
   void close() {
@@ -129,8 +137,8 @@
   std::string received_;
 };
 
-// A child process that holds the lock until release(): a successor kills an owner that does not hand over in
-// time, and the owner must not be the test itself.
+// A child process that holds the ownership lock until release(). The lock must not be held by the test
+// itself, because a successor kills an owner that does not hand over in time.
 class LockHolder {
  public:
   explicit LockHolder(const std::string& folder) {
@@ -171,7 +179,7 @@
   int release_fd_ = -1;
 };
 
-// The journal as the predecessor had left it when it stepped down, with present times.
+// Writes the journal as the predecessor had left it when it stepped down, but with present times.
 void writeJournal(const std::string& folder, const std::vector<json>& messages) {
   Journal journal(folder, {3'000'000});
   const Micros now = monotonicNow();
@@ -197,19 +205,21 @@
   ASSERT_TRUE(journal.flush());
 }
 
-std::map<std::string, JournaledMessage> openIn(const std::string& folder) {
+// The messages in the journal that are not completed, by id.
+std::map<std::string, JournaledMessage> openMessagesIn(const std::string& folder) {
   std::ifstream file(folder + "/journal", std::ios::binary);
   return replayJournal({std::istreambuf_iterator<char>(file), {}}, readClocks()).state.messages();
 }
 
-// ---- The recorded predecessor and a real successor
+// ---- A recorded predecessor hands over to a real successor
 
-class RecordedPredecessor : public testing::TestWithParam<bool> {};
+// The parameter is true if the outcomes of all calls arrive before the successor owns the journal.
+class HandoverFromRecordedPredecessor : public testing::TestWithParam<bool> {};
 
-TEST_P(RecordedPredecessor, HandsOverToARealSuccessor) {
-  const bool early = GetParam();  // the calls end before the successor has the journal
-  const std::vector<json> messages = jsonLines("messages.jsonl");
-  const std::vector<std::string> lines = linesOf(kPredecessorSide);
+TEST_P(HandoverFromRecordedPredecessor, HandsOverToARealSuccessor) {
+  const bool outcomes_precede_lock = GetParam();
+  const std::vector<json> messages = readJsonLines("messages.jsonl");
+  const std::vector<std::string> lines = linesSentBy(kPredecessorSide);
   ASSERT_FALSE(isAbsent(json::parse(lines.front()), "release"));
 
   TempFolder folder;
@@ -236,12 +246,12 @@
   UnixSocket listener;
   listener.listen(scratch + "/handover");
   std::unique_ptr<UnixSocket> link;
-  // The successor's lines up to `serving`; a Retry-After of calls that ended before may come first.
+  // The successor's lines up to `serving`. A Retry-After of calls that ended earlier may come before it.
   std::vector<json> successor_lines;
   std::thread predecessor([&] {
     link = std::make_unique<UnixSocket>(listener.accept());
     for (const std::string& line : lines) {
-      if (early || &line == &lines.front()) {
+      if (outcomes_precede_lock || &line == &lines.front()) {
         link->send(line);
       }
     }
@@ -249,23 +259,24 @@
     do {
       successor_lines.push_back(json::parse(link->readLine(), nullptr, false));
     } while (successor_lines.back().is_object() && isAbsent(successor_lines.back(), "serving"));
-    if (!early) {
+    if (!outcomes_precede_lock) {
       for (std::size_t i = 1; i < lines.size(); ++i) {
         link->send(lines[i]);
       }
     }
   });
-  // With the recorded objective; the constructor waits until the successor is ready.
-  SenderProgram successor(folder.path(), discovery.address(), known, 3, settings(16000));
+  // Uses the latency objective of the recording. The constructor waits until the successor is ready.
+  SenderProgram successor(folder.path(), discovery.address(), known, 3, settingsWithObjective(16000));
   predecessor.join();
   EXPECT_EQ(R"({"serving":true})", successor_lines.back().dump());
-  if (!early) {
+  if (!outcomes_precede_lock) {
     EXPECT_EQ(1u, successor_lines.size());
   }
   EXPECT_EQ("OK ready", successor.sendCommand("READY"));
 
-  // A Retry-After holds for the predecessor's calls, too, and is reported to it.
-  std::set<std::pair<std::string, std::int64_t>> expected_holds, reported_holds;
+  // A Retry-After also holds for the calls of the predecessor, so the successor has to report it to the
+  // predecessor.
+  std::set<std::pair<std::string, std::int64_t>> expected_retry_afters, reported_retry_afters;
   std::map<std::string, json> final_outcomes;
   for (const std::string& line : lines) {
     const json parsed = json::parse(line);
@@ -276,34 +287,35 @@
     const json& message = by_id.at(outcome.at("id"));
     if (outcome.at("wait") > 0) {
       const json& attempt = message.at("attempts").at(outcome.at("attempt").get<std::size_t>());
-      expected_holds.emplace(attempt.at("endpoint").get<std::string>(),
-                             message.at("destination").get<std::int64_t>());
+      expected_retry_afters.emplace(attempt.at("endpoint").get<std::string>(),
+                                    message.at("destination").get<std::int64_t>());
     }
     if (outcome.at("still_out") == false) {
       final_outcomes[outcome.at("id")] = outcome;
     }
   }
   EXPECT_EQ(callsIn(json::parse(lines.front()).at("release")).size(), final_outcomes.size());
-  EXPECT_FALSE(expected_holds.empty());
-  const auto note_hold = [&](const json& line) {
+  EXPECT_FALSE(expected_retry_afters.empty());
+  const auto collect_retry_after = [&](const json& line) {
     if (!isAbsent(line, "held") && !isAbsent(line, "destination")) {
-      reported_holds.emplace(line.at("held").get<std::string>(), line.at("destination").get<std::int64_t>());
+      reported_retry_afters.emplace(line.at("held").get<std::string>(),
+                                    line.at("destination").get<std::int64_t>());
     }
   };
   for (const json& line : successor_lines) {
-    note_hold(line);
+    collect_retry_after(line);
   }
-  while (!std::includes(reported_holds.begin(), reported_holds.end(), expected_holds.begin(),
-                        expected_holds.end())) {
+  while (!std::includes(reported_retry_afters.begin(), reported_retry_afters.end(),
+                        expected_retry_afters.begin(), expected_retry_afters.end())) {
     const std::string line = link->readLine();
-    ASSERT_FALSE(line.empty()) << "a Retry-After is not reported to the predecessor";
-    note_hold(json::parse(line));
+    ASSERT_FALSE(line.empty()) << "a Retry-After was not reported to the predecessor";
+    collect_retry_after(json::parse(line));
   }
 
-  // Delivered messages are complete; of the others, those that must not run twice are abandoned and the rest
-  // are retried.
+  // Delivered messages are completed. Of the others, those that may have run and must not run twice are
+  // abandoned, and the rest are retried.
   const auto never_ran = [](int result) {
-    return result == kFull || result == kConnectFailed || result == kNotSent;
+    return result == kThrottled || result == kConnectFailed || result == kNotSent;
   };
   std::set<std::string> retried, abandoned;
   for (const auto& [id, outcome] : final_outcomes) {
@@ -326,11 +338,11 @@
     return ids;
   };
   EXPECT_TRUE(eventually([&] { return sent_ids() == retried; }))
-      << json(sent_ids()).dump() << " not " << json(retried).dump();
+      << "sent " << json(sent_ids()).dump() << ", expected " << json(retried).dump();
   const auto journal_is_complete = [&] {
-    const auto open = openIn(folder.path());
+    const auto open_messages = openMessagesIn(folder.path());
     std::set<std::string> ids;
-    for (const auto& [id, entry] : open) {
+    for (const auto& [id, entry] : open_messages) {
       ids.insert(id);
       if (entry.notice_pending || entry.attempts.size() < 2 || final_outcomes.count(id) == 0) {
         return false;
@@ -341,23 +353,24 @@
     }
     return ids == retried;
   };
-  EXPECT_TRUE(eventually(journal_is_complete)) << openIn(folder.path()).size() << " messages open";
+  EXPECT_TRUE(eventually(journal_is_complete)) << openMessagesIn(folder.path()).size() << " messages open";
 
   link->close();  // the predecessor exits
   EXPECT_EQ("OK ready", successor.sendCommand("READY"));
   EXPECT_EQ(retried, sent_ids());
-  EXPECT_EQ(abandoned.size(), discovery.noticeCount()) << discovery.allNotices();
+  EXPECT_EQ(abandoned.size(), discovery.noticeCount()) << discovery.noticesAsText();
 }
 
-INSTANTIATE_TEST_SUITE_P(All, RecordedPredecessor, testing::Bool(),
-                         [](const testing::TestParamInfo<bool>& early) {
-                           return early.param ? "WithItsCallsEndingAtOnce" : "WithItsCallsEndingLater";
+INSTANTIATE_TEST_SUITE_P(All, HandoverFromRecordedPredecessor, testing::Bool(),
+                         [](const testing::TestParamInfo<bool>& outcomes_precede_lock) {
+                           return outcomes_precede_lock.param ? "WithItsCallsEndingAtOnce"
+                                                              : "WithItsCallsEndingLater";
                          });
 
-// ---- The recorded successor and a real predecessor
+// ---- A real predecessor hands over to a recorded successor
 
-// Gives the recorded responses, each once its gate has been opened; what hung in the recording has a gate of
-// its own.
+// Gives the responses of the recording, each after its gate has been opened. The calls that hung in the
+// recording have a gate of their own.
 struct ResponseGates {
   void waitUntilOpen(const bool& gate) {
     std::unique_lock<std::mutex> lock(mutex);
@@ -388,7 +401,7 @@
     }
     return {httpResponse("200 OK", "X-Pressure: x0=0.4,x1=25\r\n")};
   }
-  // Opens both gates at the end of a test, also of one that failed.
+  // Opens both gates at the end of a test, also if the test failed, so that no response is waited for.
   struct Opener {
     ~Opener() {
       gates.open(gates.answering);
@@ -398,12 +411,13 @@
   };
   std::mutex mutex;
   std::condition_variable changed;
-  bool answering = false, hanging = false;
+  bool answering = false;  // the gate of the calls that were answered in the recording
+  bool hanging = false;    // the gate of the calls that hung in the recording
 };
 
-TEST(RecordedSuccessor, TakesOverFromARealPredecessor) {
-  const std::vector<json> messages = jsonLines("messages.jsonl");
-  std::vector<std::string> lines = linesOf(kSuccessorSide);
+TEST(HandoverToRecordedSuccessor, TakesOverFromARealPredecessor) {
+  const std::vector<json> messages = readJsonLines("messages.jsonl");
+  std::vector<std::string> lines = linesSentBy(kSuccessorSide);
   ASSERT_FALSE(isAbsent(json::parse(lines.front()), "serving"));
 
   ResponseGates gates;
@@ -425,16 +439,16 @@
   for (const auto& [name, entry] : endpoints) {
     known.push_back(entry);
   }
-  // An objective so long that nothing is overdue meanwhile.
-  SenderProgram predecessor(folder.path(), discovery.address(), known, 3, settings(100000));
-  std::size_t written = 0;
+  // The latency objective is so long that no message exceeds it during the test.
+  SenderProgram predecessor(folder.path(), discovery.address(), known, 3, settingsWithObjective(100000));
+  std::size_t written_requests = 0;
   for (const json& message : messages) {
     SenderClient client(predecessor.port());
     ASSERT_EQ("+OK", client.submit(message.at("message"), message.at("class"), message.at("destination"),
                                    message.at("body"), 100000));
-    written += !is_stuck(message);
+    written_requests += !is_stuck(message);
   }
-  ASSERT_TRUE(endpoint.waitForRequests(written));
+  ASSERT_TRUE(endpoint.waitForRequests(written_requests));
 
   UnixSocket link;
   ASSERT_TRUE(link.connect(folder.path() + "-tmp/handover"));
@@ -443,10 +457,11 @@
   EXPECT_TRUE(eventually([&] { return lock.tryAcquire(); }));
   link.send(lines.front());  // `serving`
   ASSERT_TRUE(release.is_object() && !isAbsent(release, "release")) << release.dump();
-  const std::vector<std::string> recorded = linesOf(kPredecessorSide);
+  const std::vector<std::string> recorded = linesSentBy(kPredecessorSide);
   EXPECT_EQ(callsIn(json::parse(recorded.front()).at("release")), callsIn(release.at("release")));
 
-  // Each as recorded except for its duration. Nothing reaches its deadline here: "expires" is answered.
+  // Each outcome is expected as recorded except for its duration. No message reaches its deadline in this
+  // test, so "expires" is answered here.
   std::vector<json> expected, received;
   for (const std::string& line : recorded) {
     json parsed = json::parse(line);
@@ -462,13 +477,13 @@
     outcome.erase("rtt");
     expected.push_back(parsed);
   }
-  // Reads outcomes until one of this message; without an id, one outcome of any.
+  // Reads outcomes up to the first one of this message. If `id` is empty, reads one outcome of any message.
   const auto receive_outcome = [&](const std::string& id) {
     for (;;) {
       const std::string line = link.readLine();
       json parsed = json::parse(line, nullptr, false);
       if (!parsed.is_object() || isAbsent(parsed, "outcome")) {
-        ADD_FAILURE() << "no outcome of " << id << ": " << line;
+        ADD_FAILURE() << "expected an outcome of message '" << id << "', received: " << line;
         return false;
       }
       json& outcome = parsed.at("outcome");
@@ -482,7 +497,8 @@
     }
   };
   const auto is_cancel = [](const std::string& line) { return !isAbsent(json::parse(line), "cancel"); };
-  const auto send_all = [&](bool cancels) {
+  // Sends either the `cancel` lines or the lines for drains and Retry-Afters.
+  const auto send_recorded = [&](bool cancels) {
     std::size_t count = 0;
     for (const std::string& line : lines) {
       if (&line != &lines.front() && is_cancel(line) == cancels) {
@@ -494,9 +510,10 @@
   };
   const auto was_received = [&](const std::string& id) {
     return std::any_of(received.begin(), received.end(),
-                       [&](const json& each) { return each.at("outcome").at("id") == id; });
+                       [&](const json& line) { return line.at("outcome").at("id") == id; });
   };
-  send_all(false);  // drains and Retry-Afters: calls that are not written yet are returned
+  // A drain or a Retry-After withdraws the calls that are not written yet, and their outcomes are reported.
+  send_recorded(false);
   for (const char* id : {"stuck-drain", "stuck-wait"}) {
     ASSERT_TRUE(was_received(id) || receive_outcome(id));
   }
@@ -506,7 +523,7 @@
     ASSERT_TRUE(was_received(id) || receive_outcome(id));
   }
   EXPECT_EQ(7u, received.size());
-  send_all(true);
+  send_recorded(true);
   ASSERT_TRUE(receive_outcome("half"));
   ASSERT_TRUE(was_received("hang-1") || receive_outcome("hang-1"));
   EXPECT_EQ(9u, received.size());
@@ -516,7 +533,7 @@
   std::sort(expected.begin(), expected.end());
   std::sort(received.begin(), received.end());
   EXPECT_EQ(json(expected).dump(1), json(received).dump(1));
-  const int status = predecessor.wait();  // it exits as it has nothing left to do
+  const int status = predecessor.waitForExit();  // it exits because it has nothing left to do
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
   EXPECT_EQ("", link.readLine());
 }
--- a/tests/process/operator_commands_test.cpp
+++ b/tests/process/operator_commands_test.cpp
@@ -1,4 +1,4 @@
-// Replies of the control address: operators' tools compare them byte for byte.
+// Tests of the replies to operator commands. The tools of operators compare them byte for byte.
 #include "process/operator_commands.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 struct Execution {
   std::string reply;
-  std::vector<bool> drain_changes;
+  std::vector<bool> drain_changes;  // the argument of each call of `set_draining`
 };
 
 Execution execute(const std::string& line, Readiness readiness) {
@@ -20,7 +20,7 @@
   return execution;
 }
 
-TEST(OperatorCommands, ReadyTellsWhyNot) {
+TEST(OperatorCommands, ReadyIsAnsweredWithTheReasonIfTheProcessIsNotReady) {
   EXPECT_EQ("OK ready", execute("READY", Readiness::ready).reply);
   EXPECT_EQ("ERR stopping", execute("READY", Readiness::stopping).reply);
   EXPECT_EQ("ERR handing over to the next process", execute("READY", Readiness::handing_over).reply);
@@ -32,7 +32,7 @@
   EXPECT_TRUE(execute("READY", Readiness::ready).drain_changes.empty());
 }
 
-TEST(OperatorCommands, DrainAndUndrainWhileClientsAreServed) {
+TEST(OperatorCommands, DrainAndUndrainAreExecutedWhileClientsAreServed) {
   for (const Readiness readiness : {Readiness::ready, Readiness::draining, Readiness::no_endpoint_list}) {
     const Execution drain = execute("DRAIN", readiness);
     EXPECT_EQ("OK draining", drain.reply);
@@ -43,7 +43,7 @@
   }
 }
 
-TEST(OperatorCommands, DrainAndUndrainAreRefusedOtherwise) {
+TEST(OperatorCommands, DrainAndUndrainAreRejectedWhileClientsAreNotServed) {
   for (const Readiness readiness : {Readiness::stopping, Readiness::handing_over, Readiness::handed_over,
                                     Readiness::waiting_for_predecessor}) {
     for (const char* line : {"DRAIN", "UNDRAIN"}) {
@@ -55,7 +55,7 @@
   }
 }
 
-TEST(OperatorCommands, AnythingElseIsAnError) {
+TEST(OperatorCommands, UnknownCommandsAreRejected) {
   for (const char* line : {"", "ready", "READY ", "SHUTDOWN"}) {
     for (const Readiness readiness : {Readiness::ready, Readiness::stopping}) {
       const Execution execution = execute(line, readiness);
--- a/tests/process/sender_test.cpp
+++ b/tests/process/sender_process_test.cpp
@@ -1,5 +1,5 @@
-// The whole program as a child process that is stopped, killed and restarted: clients, endpoints and
-// discovery are on loopback sockets.
+// Tests of one sender process, as the whole message_sender program in a child process that is stopped, killed
+// and restarted. Clients, endpoints and discovery use loopback sockets.
 #include "storage/journal.h"
 #include "support/loopback.h"
 
@@ -8,7 +8,7 @@
 
 using namespace loopback;
 
-TEST(SenderProgram, AcceptsAMessageAndDeliversItUnchanged) {
+TEST(SenderProcess, AcceptsAMessageAndDeliversItUnchanged) {
   SenderSetup setup(respondOk);
   SenderClient client(setup.program.port());
   EXPECT_EQ("+OK", client.submit("9b1f03aa5c7e2d41", "order", 7, std::string("a\0\r\nb", 5)));
@@ -19,9 +19,10 @@
   EXPECT_EQ(std::string("a\0\r\nb", 5), request.body);
 }
 
-// The tenant that a client names reaches the decision module, also after a kill: with one slot, a message
-// within its tenant's quota is sent before earlier ones of a tenant that is far beyond its own.
-TEST(SenderProgram, AMessageWithinItsTenantsQuotaIsSentFirst) {
+// Guards against losing the tenant that a client names on the way to the decision module, also across a kill.
+// With one call slot, a message within its tenant's quota is sent before earlier messages of a tenant that is
+// far beyond its quota.
+TEST(SenderProcess, AMessageWithinItsTenantsQuotaIsSentFirst) {
   json settings = testSettings();
   settings["Domain"]["CallSlots"] = 1;
   settings["OverShareWorth"] = 0.1;
@@ -39,19 +40,20 @@
     return client.sendRequest({"MSG.PUT", "0", id, "c=payment,t=" + tenant + ",d=28000,dest=7", "body"});
   };
   ASSERT_EQ("+OK", submit("first", "beyond"));
-  ASSERT_TRUE(endpoint.waitForRequests(1));  // it holds the slot, and may have run when the process is killed
+  // The first message occupies the slot. It may have run when the process is killed, so it is not sent again.
+  ASSERT_TRUE(endpoint.waitForRequests(1));
   for (const char* id : {"b1", "b2", "b3"}) {
     ASSERT_EQ("+OK", submit(id, "beyond"));
   }
-  ASSERT_EQ("+OK", submit("mine", "inside"));
+  ASSERT_EQ("+OK", submit("within-quota", "inside"));
   program.kill();
   silent = false;
   program.start();
   ASSERT_TRUE(endpoint.waitForRequests(5));
-  EXPECT_EQ("mine", endpoint.requests()[1].field("X-Txn"));
+  EXPECT_EQ("within-quota", endpoint.requests()[1].field("X-Txn"));
 }
 
-TEST(SenderProgram, InvalidInputGetsAnErrorAndTheProgramGoesOn) {
+TEST(SenderProcess, InvalidInputIsAnsweredWithAnErrorAndTheProgramContinues) {
   SenderSetup setup(respondOk);
   SenderClient client(setup.program.port());
   EXPECT_EQ(0u, client.submit("a", "nonsense", 7).find("-ERR"));
@@ -60,7 +62,7 @@
   EXPECT_EQ(0u, client.sendRequest({"MSG.PUT", "0", "i\r\nd", "c=order,d=100,dest=7", "x"}).find("-ERR"));
   EXPECT_EQ(0u, client.sendRequest({"MSG.PUT", "0"}).find("-ERR"));
   EXPECT_EQ(0u, client.sendRequest({"FLUSHALL"}).find("-ERR"));
-  EXPECT_EQ("+PONG", client.sendRequest({"PING"}));  // the connection is still good
+  EXPECT_EQ("+PONG", client.sendRequest({"PING"}));  // the connection is still usable
   for (const std::string& bytes :
        {std::string("GET / HTTP/1.1\r\n\r\n"), "*1\r\n$99999999\r\n" + std::string(300'000, 'x')}) {
     SenderClient bad(setup.program.port());
@@ -71,18 +73,19 @@
   EXPECT_EQ("+OK", client.submit("fine", "order", 7));
 }
 
-// Peers that send no complete request, at once or byte by byte, or no message in it, hold no descriptor for
-// long; a client that is idle between messages does.
-TEST(SenderProgram, SilentPeersAndIncompleteRequestsAreClosed) {
+// Guards against peers that occupy descriptors without submitting messages: a peer that sends nothing, an
+// incomplete request (also one that grows byte by byte), or nothing but PING is disconnected. A client that
+// is idle between messages keeps its connection.
+TEST(SenderProcess, SilentPeersAndPeersWithIncompleteRequestsAreDisconnected) {
   SenderSetup setup(respondOk);
   SenderClient idle_client(setup.program.port());
   EXPECT_EQ("+OK", idle_client.submit("first", "order", 7));
-  SenderClient silent(setup.program.port()), idle(setup.program.port()), half(setup.program.port()),
-      later(setup.program.port());
+  SenderClient silent(setup.program.port()), idle(setup.program.port()), incomplete(setup.program.port()),
+      incomplete_after_ping(setup.program.port());
   EXPECT_EQ("+PONG", idle.sendRequest({"PING"}));
-  half.send("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000");
-  EXPECT_EQ("+PONG", later.sendRequest({"PING"}));
-  later.send("*5\r\n$7\r\nMSG");
+  incomplete.send("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000");
+  EXPECT_EQ("+PONG", incomplete_after_ping.sendRequest({"PING"}));
+  incomplete_after_ping.send("*5\r\n$7\r\nMSG");
   std::atomic<bool> stop{false};
   SenderClient slow_sender(setup.program.port());
   std::thread slow_bytes([&] {
@@ -92,18 +95,19 @@
       std::this_thread::sleep_for(5ms);
     }
   });
-  EXPECT_TRUE(later.waitForClose());
+  EXPECT_TRUE(incomplete_after_ping.waitForClose());
   EXPECT_TRUE(silent.waitForClose());
   EXPECT_TRUE(idle.waitForClose());
-  EXPECT_TRUE(half.waitForClose());
+  EXPECT_TRUE(incomplete.waitForClose());
   EXPECT_TRUE(slow_sender.waitForClose());
   stop = true;
   slow_bytes.join();
   EXPECT_EQ("+OK", idle_client.submit("fine", "order", 7));
 }
 
-// More peers than the table holds send PING and stay idle: a client that connects after them is served.
-TEST(SenderProgram, IdlePeersMakeRoomForClients) {
+// More peers than the connection table holds send PING and stay idle. A client that connects after them is
+// served.
+TEST(SenderProcess, IdlePeersAreEvictedForClients) {
   SenderSetup setup(respondOk);
   std::vector<std::unique_ptr<SenderClient>> crowd;
   for (int i = 0; i < 800; ++i) {
@@ -115,26 +119,27 @@
   EXPECT_EQ("+OK", client.submit("fine", "order", 7));
 }
 
-// Peers that never send a byte fill the table several times: a client that is idle between its messages keeps
-// its connection, and one that connects after them is served.
-TEST(SenderProgram, SilentPeersMakeRoomBeforeAnIdleClient) {
+// Peers that never send a byte fill the connection table several times. A client that is idle between its
+// messages keeps its connection, and a client that connects after the peers is served.
+TEST(SenderProcess, SilentPeersAreEvictedBeforeAnIdleClient) {
   SenderSetup setup(respondOk);
   SenderClient idle_client(setup.program.port());
   ASSERT_EQ("+OK", idle_client.submit("first", "order", 7));
   SenderClient silent(setup.program.port());
-  ASSERT_TRUE(
-      silent.waitForClose());  // by now the client has been idle for as long as that peer was waited for
+  // Once the silent peer is disconnected, the client has been idle for as long as the sender waited for that
+  // peer.
+  ASSERT_TRUE(silent.waitForClose());
   std::vector<std::unique_ptr<SenderClient>> crowd;
   crowd.reserve(2000);
   for (int i = 0; i < 2000; ++i) {
     crowd.push_back(std::make_unique<SenderClient>(setup.program.port()));
   }
-  SenderClient behind(setup.program.port());
-  EXPECT_EQ("+OK", behind.submit("second", "order", 7));
+  SenderClient late_client(setup.program.port());
+  EXPECT_EQ("+OK", late_client.submit("second", "order", 7));
   EXPECT_EQ("+OK", idle_client.submit("third", "order", 7));
 }
 
-TEST(SenderProgram, AnInvalidConfigurationIsOneLogLineAndAnExitCode) {
+TEST(SenderProcess, AnInvalidConfigurationEndsTheProcessWithAnErrorCode) {
   TempFolder folder;
   for (const std::string& text : {std::string("{"), std::string("{}"), std::string("[1]"),
                                   std::string(R"({"listen":"x","discovery":"127.0.0.1:1","settings":{}})")}) {
@@ -146,9 +151,9 @@
   }
 }
 
-// Idempotent messages that were in flight when the process was killed are retried; one that is not may have
-// run, so it is abandoned with a notice and never sent again.
-TEST(SenderProgram, AcceptedMessagesAreResumedAfterAKill) {
+// Idempotent messages that were in flight when the process was killed are retried. A message that is not
+// idempotent may have run, so it is abandoned with a notice and not sent again.
+TEST(SenderProcess, AcceptedMessagesAreResumedAfterAKill) {
   std::atomic<bool> silent{true};
   SenderSetup setup(
       [&](const ReceivedRequest&) { return silent ? ServerAction{} : ServerAction{httpResponse("200 OK")}; });
@@ -175,15 +180,16 @@
   EXPECT_EQ(1u, setup.discovery.noticeCount());
 }
 
-// A message whose time to live is invalid is rejected, and nothing is accepted.
-TEST(SenderProgram, AnInvalidTimeToLiveIsRejected) {
+// A message with an invalid time to live is rejected and not sent.
+TEST(SenderProcess, AnInvalidTimeToLiveIsRejected) {
   SenderSetup setup(neverRespond);
   SenderClient client(setup.program.port());
-  for (const char* d :
+  for (const char* time_to_live :
        {"d=0", "d=-5", "d=", "d=1.5", "d=soon", "d=99999999999999999999", "d=86400001", "x=1"}) {
-    EXPECT_EQ(
-        0u, client.sendRequest({"MSG.PUT", "0", "id", std::string("c=order,dest=7,") + d, "x"}).find("-ERR"))
-        << d;
+    EXPECT_EQ(0u,
+              client.sendRequest({"MSG.PUT", "0", "id", std::string("c=order,dest=7,") + time_to_live, "x"})
+                  .find("-ERR"))
+        << time_to_live;
   }
   EXPECT_EQ("+OK", client.submit("fine", "order", 7));
   ASSERT_TRUE(setup.endpoint.waitForRequests(1));
@@ -191,15 +197,16 @@
   EXPECT_EQ(0u, setup.discovery.noticeCount());
 }
 
-// The time to live counts from the first byte: a request that takes longer to arrive is rejected, and not
-// sent.
-TEST(SenderProgram, ARequestThatExpiresWhileItArrivesIsNotAccepted) {
+// The time to live counts from the first byte of the request. A request that takes longer to arrive is
+// rejected and not sent.
+TEST(SenderProcess, ARequestThatExpiresWhileItArrivesIsNotAccepted) {
   SenderSetup setup(respondOk);
   SenderClient client(setup.program.port());
   const std::string request =
       SenderClient::encodeRequest({"MSG.PUT", "0", "late", "c=order,d=50,dest=7", "body"});
   client.send(request.substr(0, 10));
-  ASSERT_EQ("OK ready", setup.program.sendCommand("READY"));  // by now the first bytes have been read
+  // Once this command is answered, the sender has read the first bytes of the request.
+  ASSERT_EQ("OK ready", setup.program.sendCommand("READY"));
   std::this_thread::sleep_for(60ms);
   client.send(request.substr(10));
   const std::string reply = client.readLine();
@@ -209,8 +216,8 @@
   EXPECT_EQ("fine", setup.endpoint.requests()[0].field("X-Txn"));
 }
 
-// A message that expires while the process is down: one notice, and no attempt.
-TEST(SenderProgram, AMessageThatExpiredBeforeTheRestartIsAbandonedOnce) {
+// A message that expires while the process is down is abandoned with one notice and no further attempt.
+TEST(SenderProcess, AMessageThatExpiredBeforeTheRestartIsAbandonedOnce) {
   std::atomic<bool> full{true};
   SenderSetup setup([&](const ReceivedRequest&) {
     return full ? ServerAction{httpResponse("429 Full", "Retry-After: 0.3\r\n")}
@@ -230,8 +237,9 @@
   EXPECT_EQ(1u, setup.endpoint.requests().size());
 }
 
-// With `durable` it serves as without, and resumes accepted messages after a kill.
-TEST(SenderProgram, ServesAndResumesWithADurableJournal) {
+// With the setting `durable`, the process serves as it does without, and resumes accepted messages after a
+// kill.
+TEST(SenderProcess, ServesAndResumesWithADurableJournal) {
   TempFolder folder;
   DiscoveryServer discovery;
   std::atomic<bool> silent{true};
@@ -251,8 +259,9 @@
   ASSERT_TRUE(endpoint.waitForRequests(2));
 }
 
-// A message that is not idempotent is retried if its attempt is known not to have run, also after a kill.
-TEST(SenderProgram, AnAttemptThatNeverRanIsRememberedAcrossAKill) {
+// A message that is not idempotent is retried if its attempt is known not to have run. This outcome has to
+// survive a kill, as the message would be abandoned otherwise.
+TEST(SenderProcess, AnAttemptThatNeverRanIsKnownAcrossAKill) {
   std::atomic<bool> full{true};
   SenderSetup setup([&](const ReceivedRequest&) {
     return full ? ServerAction{httpResponse("429 Full", "Retry-After: 4\r\n")}
@@ -262,12 +271,12 @@
     SenderClient client(setup.program.port());
     ASSERT_EQ("+OK", client.submit("unsafe", "payment", 7));
     ASSERT_TRUE(setup.endpoint.waitForRequests(1));
-    // A copy of the journal shows when the outcome has been written.
+    // Opening a copy of the journal shows whether the outcome has been written.
     ASSERT_TRUE(eventually([&] {
       TempFolder copy;
       std::filesystem::copy(setup.folder.path(), copy.path(), std::filesystem::copy_options::recursive);
-      const Journal j(copy.path(), {3'000'000});
-      const auto& open = j.recovered().messages;
+      const Journal journal(copy.path(), {3'000'000});
+      const auto& open = journal.recovered().messages;
       return open.size() == 1 && open[0].attempts.size() == 1 && open[0].attempts[0].never_ran;
     }));
   }
@@ -278,35 +287,36 @@
   EXPECT_EQ(0u, setup.discovery.noticeCount());
 }
 
-// A notice stays pending until it is answered 204, also across a kill.
-TEST(SenderProgram, ANoticeStaysPendingAcrossAKill) {
+// A notice stays pending until discovery answers it with 204, also across a kill.
+TEST(SenderProcess, ANoticeStaysPendingAcrossAKill) {
   SenderSetup setup(neverRespond);
-  setup.discovery.refuse_notices = true;
+  setup.discovery.reject_notices = true;
   {
     SenderClient client(setup.program.port());
     ASSERT_EQ("+OK", client.submit("short", "payment", 7, "x", 300));
     ASSERT_TRUE(setup.endpoint.waitForRequests(1));
   }
-  ASSERT_TRUE(eventually(
-      [&] { return setup.discovery.refused > 0; }));  // it has expired, and its notice was rejected
+  // The message has expired, and its notice was rejected.
+  ASSERT_TRUE(eventually([&] { return setup.discovery.rejected_notice_requests > 0; }));
   setup.program.kill();
-  setup.discovery.refuse_notices = false;
+  setup.discovery.reject_notices = false;
   setup.program.start();
   ASSERT_TRUE(setup.discovery.waitForNotice("short"));
   EXPECT_EQ("given_up", setup.discovery.notice("short")["outcome"]);
 }
 
-// An endpoint that a full list leaves out is removed: a call whose connection to it is not up yet is retried
-// elsewhere at once, though connecting might take longer than the message lasts.
-TEST(SenderProgram, AFullListWithoutAnEndpointWithdrawsItsCalls) {
+// An endpoint that a full list does not name is removed. A call whose connection to it is not established yet
+// is retried at another endpoint at once. Without that, connecting might take longer than the message's time
+// to live.
+TEST(SenderProcess, AFullListWithoutAnEndpointWithdrawsItsCalls) {
   const FullBacklogListener stuck;
   TempFolder folder;
   DiscoveryServer discovery;
   HttpServer other(respondOk);
   json settings = testSettings();
   settings["Ceilings"]["DialTimeoutMs"] = 100000.0;
-  for (json& c : settings["Categories"]) {
-    c["AimMs"] = c["DeadlineMs"];  // a first call may take all its time
+  for (json& message_class : settings["Categories"]) {
+    message_class["AimMs"] = message_class["DeadlineMs"];  // the first call may take until the deadline
   }
   settings["Ceilings"]["ParallelTries"] = false;
   SenderProgram program(folder.path(), discovery.address(),
@@ -318,14 +328,14 @@
   EXPECT_TRUE(other.waitForRequests(1));
 }
 
-// A restart ends a Retry-After: messages that waited for it without an attempt are sent at once.
-TEST(SenderProgram, ARestartEndsARetryAfterAndSendsWhatWaitedForIt) {
+// A restart ends a Retry-After: messages that had no attempt because of it are sent at once.
+TEST(SenderProcess, ARestartEndsARetryAfterAndSendsTheMessagesThatWaitedForIt) {
   TempFolder folder;
   DiscoveryServer discovery;
-  std::atomic<bool> shut{true};
+  std::atomic<bool> throttling{true};
   HttpServer endpoint([&](const ReceivedRequest&) {
-    return shut ? ServerAction{httpResponse("429 Full", "Retry-After: 20\r\n")}
-                : ServerAction{httpResponse("200 OK")};
+    return throttling ? ServerAction{httpResponse("429 Full", "Retry-After: 20\r\n")}
+                      : ServerAction{httpResponse("200 OK")};
   });
   SenderProgram program(folder.path(), discovery.address(),
                         json::array({endpointEntry("e1", endpoint.address(), 7)}));
@@ -334,7 +344,7 @@
   ASSERT_TRUE(endpoint.waitForRequests(1));
   const auto throttled_at = std::chrono::steady_clock::now();
   ASSERT_EQ("+OK", client.submit("without-attempt", "notice", 7));
-  shut = false;
+  throttling = false;
   program.kill();
   program.start();
   EXPECT_TRUE(endpoint.waitForRequests(2));
@@ -348,34 +358,34 @@
   EXPECT_LT(std::chrono::steady_clock::now() - throttled_at, 20s);  // before the Retry-After ends
 }
 
-// A drain holds from the turn in which it is received, also for the next process, whose configuration is
-// older.
-TEST(SenderProgram, AnEndpointDrainIsKeptAcrossAKill) {
+// A drain holds from the decision round in which it is received. It also holds for the next process, whose
+// configuration names an older endpoint list.
+TEST(SenderProcess, AnEndpointDrainIsKeptAcrossAKill) {
   SenderSetup setup(respondOk);
   HttpServer other(respondOk);
   setup.discovery.publish(json::array({endpointEntry("e1", setup.endpoint.address(), 7, "Terminating"),
                                        endpointEntry("e2", other.address(), 7)}));
   ASSERT_TRUE(setup.discovery.waitForWatch(2));
-  for (int life = 0; life < 2; ++life) {
+  for (int start = 0; start < 2; ++start) {
     SenderClient client(setup.program.port());
     for (int i = 0; i < 5; ++i) {
-      ASSERT_EQ("+OK", client.submit("m" + std::to_string(10 * life + i), "notice", 7));
+      ASSERT_EQ("+OK", client.submit("m" + std::to_string(10 * start + i), "notice", 7));
     }
-    ASSERT_TRUE(other.waitForRequests(static_cast<std::size_t>(5 * (life + 1))));
+    ASSERT_TRUE(other.waitForRequests(static_cast<std::size_t>(5 * (start + 1))));
     EXPECT_EQ(0u, setup.endpoint.requests().size());
     setup.program.kill();
     setup.program.start();
   }
 }
 
-// Discovery that rejects requests is polled with a growing backoff; the last list stays in force.
-TEST(SenderProgram, PollsADiscoveryThatRejectsItWithAGrowingBackoff) {
+// If discovery rejects requests, it is polled with a growing backoff, and the last list stays in force.
+TEST(SenderProcess, DiscoveryThatRejectsRequestsIsPolledWithAGrowingBackoff) {
   const auto now = [] { return std::chrono::steady_clock::now(); };
   std::mutex mutex;
-  std::vector<std::chrono::steady_clock::time_point> asked;
+  std::vector<std::chrono::steady_clock::time_point> requested_at;
   HttpServer endpoint(respondOk), rejecting([&](const ReceivedRequest&) {
     std::lock_guard<std::mutex> lock(mutex);
-    asked.push_back(now());
+    requested_at.push_back(now());
     return ServerAction{httpResponse("503 Busy")};
   });
   TempFolder folder;
@@ -388,38 +398,39 @@
   ASSERT_TRUE(rejecting.waitForRequests(6));
   std::lock_guard<std::mutex> lock(mutex);
   for (std::size_t i = 1; i < 5; ++i) {
-    EXPECT_GE(asked[i] - asked[i - 1], 50ms * (1 << (i - 1))) << i;
+    EXPECT_GE(requested_at[i] - requested_at[i - 1], 50ms * (1 << (i - 1))) << i;
   }
 }
 
-// SIGHUP: the endpoint list is watched and notices are sent at the address that the file names now; a file
-// that can't be used changes nothing.
-TEST(SenderProgram, SighupSwitchesToTheDiscoveryThatTheFileNames) {
+// After SIGHUP the endpoint list is watched, and notices are sent, at the address that the configuration file
+// names now. A file that can't be used changes nothing.
+TEST(SenderProcess, SighupSwitchesToTheDiscoveryThatTheFileNames) {
   SenderSetup setup(respondOk);
   SenderClient client(setup.program.port());
   ASSERT_EQ("+OK", client.submit("before", "order", 7));
   ASSERT_TRUE(setup.discovery.waitForWatch(1));
   setup.program.reload("nonsense");
-  DiscoveryServer moved;
+  DiscoveryServer new_discovery;
   HttpServer other([](const ReceivedRequest& request) {
     return request.body == "unanswered" ? ServerAction{} : ServerAction{httpResponse("200 OK")};
   });
-  moved.publish(json::array({endpointEntry("e1", setup.endpoint.address(), 7, "Terminating"),
-                             endpointEntry("e2", other.address(), 7)}));
-  setup.program.reload(moved.address());
-  ASSERT_TRUE(moved.waitForWatch(2));
+  new_discovery.publish(json::array({endpointEntry("e1", setup.endpoint.address(), 7, "Terminating"),
+                                     endpointEntry("e2", other.address(), 7)}));
+  setup.program.reload(new_discovery.address());
+  ASSERT_TRUE(new_discovery.waitForWatch(2));
   ASSERT_EQ("+OK", client.submit("after", "order", 7));
   ASSERT_TRUE(other.waitForRequests(1));
   ASSERT_EQ("+OK", client.submit("short", "payment", 7, "unanswered", 300));
-  ASSERT_TRUE(moved.waitForNotice("short"));
+  ASSERT_TRUE(new_discovery.waitForNotice("short"));
   EXPECT_EQ(0u, setup.discovery.noticeCount());
 }
 
-// A restart, by SIGKILL and by SIGTERM, with a table full of messages that wait for a Retry-After, for a
-// destination that is down, and with calls whose connections are being opened: messages without an attempt
-// are sent, those that may have run and are not idempotent are not sent again, and each ends.
-TEST(SenderProgram, MessagesWithoutAnAttemptAreSentAfterARestartWhateverTheyWaitedFor) {
-  for (const int how : {SIGKILL, SIGTERM}) {
+// The process is stopped by SIGKILL or SIGTERM and restarted while its message table is full: messages wait
+// for a Retry-After or for a destination that is down, and the connections of other calls are being opened.
+// Afterwards messages without an attempt are sent, messages that may have run and are not idempotent are not
+// sent again, and each message ends.
+TEST(SenderProcess, MessagesWithoutAnAttemptAreSentAfterARestartWhateverTheyWaitedFor) {
+  for (const int stop_signal : {SIGKILL, SIGTERM}) {
     std::atomic<bool> down{true};
     std::mutex mutex;
     std::set<std::string> may_have_run, delivered;
@@ -430,8 +441,9 @@
       std::lock_guard<std::mutex> lock(mutex);
       const std::string id = request.field("X-Txn");
       const bool first = delivered.insert(id).second;
+      // All throttled messages but the first are payments, which are not idempotent.
       if (id != "throttled0" && id.rfind("throttled", 0) == 0) {
-        EXPECT_TRUE(first) << id;  // payments
+        EXPECT_TRUE(first) << id;
       }
       return ServerAction{httpResponse("200 OK")};
     });
@@ -445,7 +457,7 @@
       delivered.insert(request.field("X-Txn"));
       return ServerAction{httpResponse("200 OK")};
     });
-    HttpServer late([&](const ReceivedRequest& request) {
+    HttpServer connectable([&](const ReceivedRequest& request) {
       std::lock_guard<std::mutex> lock(mutex);
       delivered.insert(request.field("X-Txn"));
       return ServerAction{httpResponse("200 OK")};
@@ -456,7 +468,8 @@
     json settings = testSettings();
     settings["Ceilings"]["MaxOpen"] = 20;
     settings["Ceilings"]["DialTimeoutMs"] = 20000.0;
-    settings["Rules"]["RampTimeMs"] = 1000.0;  // what was unavailable is paced for so long
+    // How long calls to a destination that was unavailable are paced.
+    settings["Rules"]["RampTimeMs"] = 1000.0;
     SenderProgram program(folder.path(), discovery.address(),
                           json::array({endpointEntry("throttled", throttled.address(), 7),
                                        endpointEntry("unavailable", unavailable.address(), 8),
@@ -466,8 +479,8 @@
     std::vector<std::string> accepted;
     {
       SenderClient client(program.port());
-      const auto submit = [&](const std::string& id, const char* cls, int dest) {
-        if (client.submit(id, cls, dest) == "+OK") {
+      const auto submit = [&](const std::string& id, const char* message_class, int destination) {
+        if (client.submit(id, message_class, destination) == "+OK") {
           accepted.push_back(id);
         }
       };
@@ -486,14 +499,14 @@
       }
     }
     ASSERT_GE(accepted.size(), 12u);
-    program.signal(how);
-    program.wait();
+    program.signal(stop_signal);
+    program.waitForExit();
     down = false;
-    discovery.publish(json::array({endpointEntry("late", late.address(), 9)}));
+    discovery.publish(json::array({endpointEntry("late", connectable.address(), 9)}));
     program.start();
     SenderClient client(program.port());
     for (int i = 0; i < 20; ++i) {
-      client.submit("new" + std::to_string(i), "notice", 7);  // a full table again
+      client.submit("new" + std::to_string(i), "notice", 7);  // fill the message table again
     }
     for (const std::string& id : accepted) {
       EXPECT_TRUE(eventually([&] {
@@ -506,7 +519,7 @@
         }
         return !discovery.notice(id).is_null();
       })) << id
-          << " after signal " << how;
+          << " after signal " << stop_signal;
     }
     std::lock_guard<std::mutex> lock(mutex);
     for (const std::string& id : accepted) {
@@ -515,100 +528,109 @@
   }
 }
 
-// Discovery with scripted answers, one for each request in order. Requests after the last one stay
-// unanswered, as a watch without updates does.
+// A discovery server that gives the answers of a list in order, one for each request. Requests after the last
+// answer stay unanswered, like a watch request while the list does not change.
 class ScriptedDiscovery {
  public:
   explicit ScriptedDiscovery(std::vector<ServerAction> answers)
       : answers_(std::move(answers)), server_([this](const ReceivedRequest& request) {
-          const std::size_t call = calls_++;
+          const std::size_t request_index = request_count_++;
           if (request.head.rfind("POST", 0) == 0) {
             return ServerAction{"HTTP/1.1 204 No Content\r\n\r\n"};
           }
           std::lock_guard<std::mutex> lock(mutex_);
-          asked_.push_back(std::chrono::steady_clock::now());
-          return call < answers_.size() ? answers_[call] : ServerAction{};
+          requested_at_.push_back(std::chrono::steady_clock::now());
+          return request_index < answers_.size() ? answers_[request_index] : ServerAction{};
         }) {}
   std::string address() const { return server_.address(); }
-  bool waitForRequests(std::size_t calls) { return server_.waitForRequests(calls); }
+  bool waitForRequests(std::size_t count) { return server_.waitForRequests(count); }
   std::vector<ReceivedRequest> requests() { return server_.requests(); }
-  std::vector<std::chrono::steady_clock::duration> gaps() {
+  // The time from each request for the list to the next one.
+  std::vector<std::chrono::steady_clock::duration> requestGaps() {
     std::lock_guard<std::mutex> lock(mutex_);
-    std::vector<std::chrono::steady_clock::duration> all;
-    for (std::size_t i = 1; i < asked_.size(); ++i) {
-      all.push_back(asked_[i] - asked_[i - 1]);
+    std::vector<std::chrono::steady_clock::duration> gaps;
+    for (std::size_t i = 1; i < requested_at_.size(); ++i) {
+      gaps.push_back(requested_at_[i] - requested_at_[i - 1]);
     }
-    return all;
+    return gaps;
   }
 
  private:
   std::vector<ServerAction> answers_;
   std::mutex mutex_;
-  std::vector<std::chrono::steady_clock::time_point> asked_;
-  std::atomic<std::size_t> calls_{0};
+  std::vector<std::chrono::steady_clock::time_point> requested_at_;  // requests for the list, not notices
+  std::atomic<std::size_t> request_count_{0};
   HttpServer server_;
 };
 
-// A list in which destination 7 has moved from `from` to `to`, formatted in several lines.
-std::string movedList(const HttpServer& from, const HttpServer& to) {
+// A full list in which the endpoint of destination 7 at `old_endpoint` drains and one at `new_endpoint` is
+// ready. Its JSON text has several lines.
+std::string replacementList(const HttpServer& old_endpoint, const HttpServer& new_endpoint) {
   return json{{"index", 9},
               {"snapshot", true},
               {"endpoints",
-               {endpointEntry("e1", from.address(), 7, "Terminating"), endpointEntry("e2", to.address(), 7)}}}
+               {endpointEntry("e1", old_endpoint.address(), 7, "Terminating"),
+                endpointEntry("e2", new_endpoint.address(), 7)}}}
       .dump(2);
 }
-ServerAction halfOf(const ServerAction& whole) {
-  return {whole.bytes.substr(0, whole.bytes.size() - 40)};
+// An answer that lacks its last 40 bytes, so that the program waits for the rest.
+ServerAction truncated(const ServerAction& complete) {
+  return {complete.bytes.substr(0, complete.bytes.size() - 40)};
 }
 
-// A watch that stalls, at once or in the middle of its answer, is opened again on another connection, and the
-// update that it missed applies. Both cases run at once, as each takes the time-out of a watch.
-TEST(SenderProgram, AWatchThatStallsIsOpenedAgain) {
-  HttpServer from(respondOk), to(respondOk);
-  const ServerAction moved{httpResponse("200 OK", "", movedList(from, to))};
-  ScriptedDiscovery silent({ServerAction{}, moved}), half({halfOf(moved), moved});
+// A watch request that is never answered, or whose answer stops in the middle, is repeated on another
+// connection, and the update that was missed is applied. Both cases run at the same time, as each takes as
+// long as the time-out of a watch.
+TEST(SenderProcess, AWatchThatStallsIsOpenedAgain) {
+  HttpServer old_endpoint(respondOk), new_endpoint(respondOk);
+  const ServerAction update{httpResponse("200 OK", "", replacementList(old_endpoint, new_endpoint))};
+  ScriptedDiscovery silent({ServerAction{}, update});
+  ScriptedDiscovery stalling({truncated(update), update});
   TempFolder folder, other_folder;
-  const json known = json::array({endpointEntry("e1", from.address(), 7)});
-  SenderProgram one(folder.path(), silent.address(), known), two(other_folder.path(), half.address(), known);
-  for (ScriptedDiscovery* d : {&silent, &half}) {
-    ASSERT_TRUE(d->waitForRequests(3));  // the broken one, the new one, and the next
-    EXPECT_NE(d->requests()[0].connection, d->requests()[1].connection);
-    EXPECT_NE(std::string::npos, d->requests()[2].head.find("from=9&")) << d->requests()[2].head;
+  const json known = json::array({endpointEntry("e1", old_endpoint.address(), 7)});
+  SenderProgram first_program(folder.path(), silent.address(), known);
+  SenderProgram second_program(other_folder.path(), stalling.address(), known);
+  for (ScriptedDiscovery* discovery : {&silent, &stalling}) {
+    ASSERT_TRUE(discovery->waitForRequests(3));  // the stalled request, its repetition, and the next watch
+    EXPECT_NE(discovery->requests()[0].connection, discovery->requests()[1].connection);
+    EXPECT_NE(std::string::npos, discovery->requests()[2].head.find("from=9&"))
+        << discovery->requests()[2].head;
   }
   std::size_t sent = 0;
-  for (const SenderProgram* p : {&one, &two}) {
-    SenderClient client(p->port());
-    ASSERT_EQ("+OK", client.submit("m" + std::to_string(p->pid()), "notice", 7));
-    EXPECT_TRUE(to.waitForRequests(++sent));
+  for (const SenderProgram* program : {&first_program, &second_program}) {
+    SenderClient client(program->port());
+    ASSERT_EQ("+OK", client.submit("m" + std::to_string(program->pid()), "notice", 7));
+    EXPECT_TRUE(new_endpoint.waitForRequests(++sent));
   }
-  EXPECT_EQ(0u, from.requests().size());
+  EXPECT_EQ(0u, old_endpoint.requests().size());
 }
 
-// SIGHUP while the watch stalls, and the new discovery stalls in the middle of its first answer: it is asked
-// again for the full list.
-TEST(SenderProgram, SighupReplacesAStalledWatchByADiscoveryThatStallsToo) {
-  HttpServer from(respondOk), to(respondOk);
-  const ServerAction moved{httpResponse("200 OK", "", movedList(from, to))};
-  ScriptedDiscovery silent({}), half({halfOf(moved), moved});
+// SIGHUP arrives while the watch stalls, and the new discovery stalls in the middle of its first answer. The
+// full list is requested from it again.
+TEST(SenderProcess, SighupReplacesAStalledWatchByADiscoveryThatStallsToo) {
+  HttpServer old_endpoint(respondOk), new_endpoint(respondOk);
+  const ServerAction update{httpResponse("200 OK", "", replacementList(old_endpoint, new_endpoint))};
+  ScriptedDiscovery silent({});
+  ScriptedDiscovery stalling({truncated(update), update});
   TempFolder folder;
   SenderProgram program(folder.path(), silent.address(),
-                        json::array({endpointEntry("e1", from.address(), 7)}));
+                        json::array({endpointEntry("e1", old_endpoint.address(), 7)}));
   ASSERT_TRUE(silent.waitForRequests(1));
-  program.reload(half.address());
-  ASSERT_TRUE(half.waitForRequests(3));
+  program.reload(stalling.address());
+  ASSERT_TRUE(stalling.waitForRequests(3));
   for (std::size_t i = 0; i < 2; ++i) {
-    EXPECT_EQ(std::string::npos, half.requests()[i].head.find("from=")) << half.requests()[i].head;
+    EXPECT_EQ(std::string::npos, stalling.requests()[i].head.find("from=")) << stalling.requests()[i].head;
   }
   SenderClient client(program.port());
   ASSERT_EQ("+OK", client.submit("m", "notice", 7));
-  EXPECT_TRUE(to.waitForRequests(1));
-  EXPECT_EQ(0u, from.requests().size());
+  EXPECT_TRUE(new_endpoint.waitForRequests(1));
+  EXPECT_EQ(0u, old_endpoint.requests().size());
   EXPECT_EQ(1u, silent.requests().size());
 }
 
-// The backoff that has grown for a discovery that fails is not kept for the one that SIGHUP names: it starts
-// from the first pause again. An update counts as received 4 s after the signal.
-TEST(SenderProgram, BackoffStartsAgainAtTheDiscoveryThatSighupNames) {
+// A backoff that has grown because discovery fails is not kept for the discovery that SIGHUP names: it starts
+// again from the first pause. An update counts as received 4 s after the signal.
+TEST(SenderProcess, TheBackoffStartsAgainAtTheDiscoveryThatSighupNames) {
   const std::vector<ServerAction> rejections(20, ServerAction{httpResponse("503 Busy")});
   ScriptedDiscovery before(rejections), after(rejections);
   TempFolder folder;
@@ -617,32 +639,35 @@
                         json::array({endpointEntry("e1", endpoint.address(), 7)}));
   ASSERT_TRUE(before.waitForRequests(6));
   program.reload(after.address());
-  ASSERT_TRUE(eventually([&] { return after.gaps().size() >= 6; }));  // all of those compared below
-  const auto gaps = after.gaps();
-  EXPECT_GT(gaps[5], 3 * gaps[0]);  // each is within half and one and a half of twice the one before
+  ASSERT_TRUE(eventually([&] { return after.requestGaps().size() >= 6; }));  // the gaps compared below
+  const auto gaps = after.requestGaps();
+  // The backoff doubles each time, and the jitter makes it half to one and a half times as long.
+  EXPECT_GT(gaps[5], 3 * gaps[0]);
 }
 
-// A discovery that returns and stalls in the middle of its first answer.
-TEST(SenderProgram, ADiscoveryThatReturnsAndStallsIsPolledAgain) {
-  HttpServer from(respondOk), to(respondOk);
-  const ServerAction moved{httpResponse("200 OK", "", movedList(from, to))}, away{httpResponse("503 Busy")};
-  // A full list that can't be read: from then on the full list is asked for, with the time-out of such a
+// Discovery fails, becomes available again, and stalls in the middle of its first answer. It is polled again.
+TEST(SenderProcess, ADiscoveryThatRecoversAndStallsIsPolledAgain) {
+  HttpServer old_endpoint(respondOk), new_endpoint(respondOk);
+  const ServerAction update{httpResponse("200 OK", "", replacementList(old_endpoint, new_endpoint))};
+  const ServerAction unavailable{httpResponse("503 Busy")};
+  // An answer that can't be read. From then on the full list is requested, with the time-out of such a
   // request.
-  const ServerAction spoilt{httpResponse("200 OK", "", "{\"index\":")};
-  ScriptedDiscovery discovery({spoilt, away, ServerAction{"", false, true}, halfOf(moved), moved});
+  const ServerAction malformed{httpResponse("200 OK", "", "{\"index\":")};
+  ScriptedDiscovery discovery(
+      {malformed, unavailable, ServerAction{"", false, true}, truncated(update), update});
   TempFolder folder;
   SenderProgram program(folder.path(), discovery.address(),
-                        json::array({endpointEntry("e1", from.address(), 7)}));
+                        json::array({endpointEntry("e1", old_endpoint.address(), 7)}));
   ASSERT_TRUE(discovery.waitForRequests(6));
   EXPECT_NE(std::string::npos, discovery.requests()[5].head.find("from=9&")) << discovery.requests()[5].head;
   SenderClient client(program.port());
   ASSERT_EQ("+OK", client.submit("m", "notice", 7));
-  EXPECT_TRUE(to.waitForRequests(1));
-  EXPECT_EQ(0u, from.requests().size());
+  EXPECT_TRUE(new_endpoint.waitForRequests(1));
+  EXPECT_EQ(0u, old_endpoint.requests().size());
 }
 
-// SIGTERM while the watch stalls: the process does not wait for it.
-TEST(SenderProgram, SigtermDoesNotWaitForAStalledWatch) {
+// A watch request that stalls must not delay the exit after SIGTERM.
+TEST(SenderProcess, SigtermDoesNotWaitForAStalledWatch) {
   HttpServer endpoint(respondOk);
   ScriptedDiscovery silent({});
   TempFolder folder;
@@ -654,50 +679,53 @@
   ASSERT_TRUE(endpoint.waitForRequests(1));
   program.signal(SIGTERM);
   EXPECT_TRUE(client.hasNoMoreLines());
-  const int status = program.wait();
+  const int status = program.waitForExit();
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   EXPECT_EQ(1u, silent.requests().size());
 }
 
-TEST(SenderProgram, AFullDiskBudgetRejectsNewMessagesAndKeepsOldOnes) {
+TEST(SenderProcess, AFullDiskBudgetRejectsNewMessagesAndKeepsOldOnes) {
   SenderSetup setup(neverRespond, 0.3);
   SenderClient client(setup.program.port());
-  int accepted = 0, refused = 0;
+  int accepted = 0;
+  int rejected = 0;
   for (int i = 0; i < 40; ++i) {
     const std::string reply = client.submit("m" + std::to_string(i), "notice", 7, std::string(8000, 'x'));
     if (reply == "+OK") {
       ++accepted;
     } else if (reply.rfind("-BUSY", 0) == 0) {
-      ++refused;
+      ++rejected;
     }
   }
-  EXPECT_EQ(40, accepted + refused);
+  EXPECT_EQ(40, accepted + rejected);
   EXPECT_GT(accepted, 3);
-  EXPECT_GT(refused, 3);
-  std::uint64_t on_disk = 0;
-  for (const auto& e : std::filesystem::directory_iterator(setup.folder.path())) {
-    on_disk += (e.file_size() + 511) / 512 * 512;
+  EXPECT_GT(rejected, 3);
+  std::uint64_t bytes_on_disk = 0;
+  for (const auto& file : std::filesystem::directory_iterator(setup.folder.path())) {
+    bytes_on_disk += (file.file_size() + 511) / 512 * 512;  // in whole disk blocks of 512 bytes
   }
-  EXPECT_LE(on_disk, 300'000u);
+  EXPECT_LE(bytes_on_disk, 300'000u);
 }
 
-// SIGTERM: calls in flight are completed, what can't be started is left to the next process, late clients are
-// still answered, and the program exits with status 0. A payment is answered once two more were submitted, so
-// that the latency that the sender learns, and with it its time-outs, follows the same traffic on a busy
-// machine as on an idle one.
-TEST(SenderProgram, SigtermUnderTrafficLosesNoMessage) {
+// After SIGTERM, calls in flight are completed, messages whose calls can't be started any more are left to
+// the next process, clients that connect late are still answered, and the program exits with status 0.
+//
+// The endpoint answers a payment once two more were submitted. The latency that the sender measures, and with
+// it its time-outs, thus depends on the traffic in the same way on a busy machine as on an idle one.
+TEST(SenderProcess, SigtermUnderTrafficLosesNoMessage) {
   std::mutex mutex;
-  std::condition_variable more;
-  int asked = 0;
+  std::condition_variable progress;
+  int submitted = 0;
   bool stop = false;
   SenderSetup setup([&](const ReceivedRequest& request) {
     std::unique_lock<std::mutex> lock(mutex);
-    more.wait_for(lock, kWaitLimit, [&, mine = asked] { return stop || asked >= mine + 2; });
+    progress.wait_for(lock, kWaitLimit, [&, before = submitted] { return stop || submitted >= before + 2; });
     return respondOk(request);
   });
-  const auto wait_for_asked = [&](int count) {
+  const auto wait_for_submissions = [&](int count) {
     std::unique_lock<std::mutex> lock(mutex);
-    EXPECT_TRUE(more.wait_for(lock, kWaitLimit, [&, from = asked] { return asked >= from + count; }));
+    EXPECT_TRUE(
+        progress.wait_for(lock, kWaitLimit, [&, before = submitted] { return submitted >= before + count; }));
   };
   std::vector<std::string> accepted;
   std::thread traffic([&] {
@@ -710,10 +738,10 @@
           return;
         }
         if (client.connected()) {
-          ++asked;
+          ++submitted;
         }
       }
-      more.notify_all();
+      progress.notify_all();
       if (!client.connected()) {
         continue;
       }
@@ -723,19 +751,19 @@
       std::this_thread::sleep_for(5ms);
     }
   });
-  wait_for_asked(20);
+  wait_for_submissions(20);
   SenderClient idle(setup.program.port());
   ASSERT_EQ("+PONG", idle.sendRequest({"PING"}));
   setup.program.signal(SIGTERM);
   EXPECT_TRUE(idle.hasNoMoreLines());  // an idle connection is closed between requests
-  wait_for_asked(5);                   // late ones are served
+  wait_for_submissions(5);             // clients that connect late are served
   {
     std::lock_guard<std::mutex> lock(mutex);
     stop = true;
   }
-  more.notify_all();
+  progress.notify_all();
   traffic.join();
-  const int status = setup.program.wait();
+  const int status = setup.program.waitForExit();
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   setup.program.start();
   ASSERT_TRUE(setup.endpoint.waitForRequests(accepted.size()));
@@ -746,7 +774,7 @@
   for (const std::string& id : accepted) {
     EXPECT_EQ(1, sends[id]) << id;
   }
-  EXPECT_EQ(0u, setup.discovery.noticeCount()) << setup.discovery.allNotices();
+  EXPECT_EQ(0u, setup.discovery.noticeCount()) << setup.discovery.noticesAsText();
 }
 
 }  // namespace
--- a/tests/support/discovery_server.h
+++ b/tests/support/discovery_server.h
@@ -1,4 +1,4 @@
-// The platform's discovery server as tests need it.
+// A discovery server for tests: it serves an endpoint list and receives completion notices.
 #pragma once
 
 #include <algorithm>
@@ -19,14 +19,14 @@
 
 using nlohmann::json;
 
-// An endpoint as discovery lists it; `group` is its destination.
+// An entry of discovery's endpoint list. `group` is the destination of the endpoint.
 inline json endpointEntry(const std::string& name, const std::string& address, int group,
                           const std::string& status = "Ready") {
   return {{"name", name},   {"address", address}, {"zone", "a"},    {"type", "partner"},
           {"group", group}, {"status", status},   {"weight", 50.0}, {"since_ms", 0}};
 }
 
-// Answers a watch request once there is a newer list, and takes completion notices.
+// Answers a watch request once there is a newer list, and records completion notices.
 class DiscoveryServer {
  public:
   DiscoveryServer() : server_([this](const ReceivedRequest& request) { return respond(request); }) {}
@@ -37,6 +37,7 @@
 
   std::string address() const { return server_.address(); }
 
+  // Replaces the list and raises its index by 1. The first list that is published has index 2.
   void publish(json endpoints, bool is_snapshot = false) {
     std::lock_guard<std::mutex> lock(mutex_);
     ++index_;
@@ -44,7 +45,8 @@
     endpoints_ = std::move(endpoints);
     changed_.notify_all();
   }
-  // Waits for a watch request from this index or a later one: what was published before it has been read.
+  // Waits for a watch request from this index or a later one. The program has then read the lists up to the
+  // index.
   bool waitForWatch(long from) {
     std::unique_lock<std::mutex> lock(mutex_);
     return changed_.wait_for(lock, kWaitLimit, [&] { return watched_from_ >= from; });
@@ -54,11 +56,12 @@
     std::unique_lock<std::mutex> lock(mutex_);
     return changed_.wait_for(lock, kWaitLimit, [&] { return notices_.count(message) > 0; });
   }
+  // The last notice of a message; null if there is none.
   json notice(const std::string& message) {
     std::lock_guard<std::mutex> lock(mutex_);
     return notices_[message];
   }
-  std::string allNotices() {
+  std::string noticesAsText() {
     std::lock_guard<std::mutex> lock(mutex_);
     return json(notices_).dump();
   }
@@ -67,18 +70,18 @@
     return notices_.size();
   }
 
-  std::atomic<bool> refuse_notices{false};
-  std::atomic<int> refused{0};  // requests with notices
+  std::atomic<bool> reject_notices{false};       // answer notices with 503
+  std::atomic<int> rejected_notice_requests{0};  // requests with notices that were answered with 503
 
  private:
   ServerAction respond(const ReceivedRequest& request) {
     const bool has_notices = request.head.rfind("POST /v1/notices", 0) == 0;
-    return has_notices ? takeNotices(request) : answerWatch(request);
+    return has_notices ? receiveNotices(request) : answerWatch(request);
   }
 
-  ServerAction takeNotices(const ReceivedRequest& request) {
-    if (refuse_notices) {
-      ++refused;
+  ServerAction receiveNotices(const ReceivedRequest& request) {
+    if (reject_notices) {
+      ++rejected_notice_requests;
       return {httpResponse("503 Busy")};
     }
     std::lock_guard<std::mutex> lock(mutex_);
@@ -93,9 +96,9 @@
 
   ServerAction answerWatch(const ReceivedRequest& request) {
     long from = -1;
-    const auto at = request.head.find("from=");
-    if (at != std::string::npos) {
-      from = std::stol(request.head.substr(at + 5));
+    const auto parameter = request.head.find("from=");
+    if (parameter != std::string::npos) {
+      from = std::stol(request.head.substr(parameter + 5));
     }
     std::unique_lock<std::mutex> lock(mutex_);
     watched_from_ = std::max(watched_from_, from);
@@ -110,10 +113,10 @@
 
   std::mutex mutex_;
   std::condition_variable changed_;
-  std::map<std::string, json> notices_;  // the last one of each message
+  std::map<std::string, json> notices_;  // the last notice of each message, by message id
   json endpoints_ = json::array();
   long index_ = 1;
-  long watched_from_ = -1;
+  long watched_from_ = -1;  // the highest index that a watch request has named; -1: none
   bool is_snapshot_ = false;
   std::atomic<bool> stop_{false};
   HttpServer server_;
--- a/tests/support/http_server.h
+++ b/tests/support/http_server.h
@@ -1,4 +1,4 @@
-// An HTTP server with scripted responses, which tests use as an endpoint and as discovery.
+// An HTTP server whose responses a test chooses. Tests use it as an endpoint and as discovery.
 #pragma once
 
 #include <poll.h>
@@ -21,11 +21,12 @@
 
 // A request as the server received it.
 struct ReceivedRequest {
-  std::string head, body;
-  std::size_t connection = 0;           // which connection of the server, from 0
-  std::size_t index_on_connection = 0;  // which request on that connection, from 0
+  std::string head;  // request line and header fields, each with its line end
+  std::string body;
+  std::size_t connection = 0;           // number of the connection at this server, from 0
+  std::size_t index_on_connection = 0;  // number of the request on that connection, from 0
 
-  // The value of a header field, in the case in which it was sent; empty if there is none.
+  // The value of a header field; empty if there is none. `name` has to match the case in which it was sent.
   std::string field(const std::string& name) const {
     const auto at = head.find("\r\n" + name + ": ");
     if (at == std::string::npos) {
@@ -36,13 +37,15 @@
   }
 };
 
-// What the server does with a request: the bytes that it sends (none: no answer), and whether it then closes
-// the connection, resets it, or (with neither) keeps it.
+// How the server reacts to a request: it sends `bytes`, which may be empty for no answer, and then closes the
+// connection, resets it, or keeps it open if neither is set.
 struct ServerAction {
   std::string bytes;
-  bool close = false, reset = false;
+  bool close = false;
+  bool reset = false;
 };
 
+// An HTTP response. `fields`: further header fields, each with its line end.
 inline std::string httpResponse(const std::string& status, const std::string& fields = "",
                                 const std::string& body = "") {
   return "HTTP/1.1 " + status + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + fields +
@@ -59,9 +62,10 @@
 // Serves on a loopback port, with a thread for each connection.
 class HttpServer {
  public:
-  using Script = std::function<ServerAction(const ReceivedRequest&)>;  // called by the connections' threads
+  // Called on the thread of the connection that received the request.
+  using Handler = std::function<ServerAction(const ReceivedRequest&)>;
 
-  explicit HttpServer(Script script) : script_(std::move(script)), thread_([this] { acceptLoop(); }) {}
+  explicit HttpServer(Handler handler) : handler_(std::move(handler)), thread_([this] { acceptLoop(); }) {}
   ~HttpServer() {
     stop_ = true;
     thread_.join();
@@ -77,15 +81,16 @@
     std::lock_guard<std::mutex> lock(mutex_);
     return requests_;
   }
-  // Waits until it has received so many requests.
+  // Waits until the server has received at least `count` requests.
   bool waitForRequests(std::size_t count) {
     std::unique_lock<std::mutex> lock(mutex_);
     return changed_.wait_for(lock, kWaitLimit, [&] { return requests_.size() >= count; });
   }
-  std::size_t connectionsClosedByPeer() const { return closed_by_peer_; }  // connections
+  std::size_t connectionsClosedByPeer() const { return closed_by_peer_; }
 
  private:
-  static bool readable(int fd) {
+  // Waits for a short time only, so that its callers notice the end of the server.
+  static bool waitUntilReadable(int fd) {
     constexpr int kPollMs = 20;
     pollfd poll_fd{fd, POLLIN, 0};
     return ::poll(&poll_fd, 1, kPollMs) > 0;
@@ -93,7 +98,7 @@
 
   void acceptLoop() {
     for (std::size_t count = 0; !stop_;) {
-      if (!readable(listener_.fd)) {
+      if (!waitUntilReadable(listener_.fd)) {
         continue;
       }
       const int fd = ::accept4(listener_.fd, nullptr, nullptr, SOCK_CLOEXEC);
@@ -113,14 +118,15 @@
         request.connection = connection;
         request.index_on_connection = count++;
         ended = respond(fd, request);
-      } else if (readable(fd)) {
+      } else if (waitUntilReadable(fd)) {
         ended = !receive(fd, received);
       }
     }
     ::close(fd);
   }
 
-  // Takes a complete request off the front of `received`; false: there is none yet.
+  // Moves the first request from `received` to `request`. Returns false if no complete request has arrived
+  // yet.
   static bool extractRequest(std::string& received, ReceivedRequest& request) {
     const auto end = received.find("\r\n\r\n");
     if (end == std::string::npos) {
@@ -137,14 +143,14 @@
     return true;
   }
 
-  // True: the script ends the connection.
+  // Records the request and executes the handler's action. Returns true if that action ends the connection.
   bool respond(int fd, const ReceivedRequest& request) {
     {
       std::lock_guard<std::mutex> lock(mutex_);
       requests_.push_back(request);
     }
     changed_.notify_all();
-    const ServerAction action = script_(request);
+    const ServerAction action = handler_(request);
     if (!action.bytes.empty()) {
       (void)!::send(fd, action.bytes.data(), action.bytes.size(), MSG_NOSIGNAL);
     }
@@ -155,19 +161,19 @@
     return action.close || action.reset;
   }
 
-  // False: the peer has closed the connection.
+  // Returns false if the peer has closed the connection.
   bool receive(int fd, std::string& received) {
-    char piece[4096];
-    const ssize_t size = ::recv(fd, piece, sizeof piece, 0);
+    char chunk[4096];
+    const ssize_t size = ::recv(fd, chunk, sizeof chunk, 0);
     if (size <= 0) {
       ++closed_by_peer_;
       return false;
     }
-    received.append(piece, static_cast<std::size_t>(size));
+    received.append(chunk, static_cast<std::size_t>(size));
     return true;
   }
 
-  Script script_;
+  Handler handler_;
   Listener listener_;
   std::mutex mutex_;
   std::condition_variable changed_;
--- a/tests/support/sender_client.h
+++ b/tests/support/sender_client.h
@@ -1,4 +1,4 @@
-// A client of the program, for its RESP port and for its control port.
+// A client of the sender program, for its RESP port and for its control port.
 #pragma once
 
 #include <arpa/inet.h>
@@ -20,13 +20,14 @@
 
 class SenderClient {
  public:
-  // Connects to a loopback port; `from`: the loopback address to connect from, if not the usual one.
-  explicit SenderClient(int port, const char* from = nullptr) {
+  // Connects to a loopback port. `source_address`: the loopback address to connect from; null lets the kernel
+  // choose.
+  explicit SenderClient(int port, const char* source_address = nullptr) {
     fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    if (from != nullptr) {
+    if (source_address != nullptr) {
       sockaddr_in source{};
       source.sin_family = AF_INET;
-      ::inet_pton(AF_INET, from, &source.sin_addr);
+      ::inet_pton(AF_INET, source_address, &source.sin_addr);
       EXPECT_EQ(0, ::bind(fd_, reinterpret_cast<sockaddr*>(&source), sizeof source));
     }
     const sockaddr_in address = loopbackAddress(port);
@@ -38,27 +39,28 @@
 
   bool connected() const { return connected_; }
 
-  // False: the peer takes no more, as it has closed the connection.
+  // Sends all bytes. Returns false if the peer has closed the connection meanwhile.
   bool trySend(const std::string& bytes) {
     for (std::size_t sent = 0; sent < bytes.size();) {
-      const ssize_t size = ::send(fd_, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
-      if (size <= 0) {
+      const ssize_t written = ::send(fd_, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
+      if (written <= 0) {
         return false;
       }
-      sent += static_cast<std::size_t>(size);
+      sent += static_cast<std::size_t>(written);
     }
     return true;
   }
   void send(const std::string& bytes) { trySend(bytes); }
 
-  // Reads and drops what has arrived so far.
+  // Reads and discards the bytes that have arrived so far.
   void discardReceived() {
-    char piece[1024];
-    while (::recv(fd_, piece, sizeof piece, MSG_DONTWAIT) > 0) {
+    char chunk[1024];
+    while (::recv(fd_, chunk, sizeof chunk, MSG_DONTWAIT) > 0) {
     }
   }
 
-  // One line without its end; empty if the connection ended first.
+  // Waits for one line and returns it without its end. Returns an empty string if the connection ends first,
+  // or nothing arrives within the wait limit.
   std::string readLine(const std::string& end_mark = "\r\n") {
     for (;;) {
       const auto end = received_.find(end_mark);
@@ -70,28 +72,29 @@
       if (!waitUntilReadable()) {
         return "";
       }
-      char piece[1024];
-      const ssize_t size = ::recv(fd_, piece, sizeof piece, 0);
+      char chunk[1024];
+      const ssize_t size = ::recv(fd_, chunk, sizeof chunk, 0);
       if (size <= 0) {
         return "";
       }
-      received_.append(piece, static_cast<std::size_t>(size));
+      received_.append(chunk, static_cast<std::size_t>(size));
     }
   }
+  // Waits as readLine() does. True if the connection ended without another line, or none arrived in time.
   bool hasNoMoreLines() { return readLine().empty(); }
 
-  // The peer closes the connection, rather than just sending nothing for long.
+  // Waits until the peer closes the connection. Returns false if it only sends nothing for the wait limit.
   bool waitForClose() {
-    char piece[1024];
+    char chunk[1024];
     while (waitUntilReadable()) {
-      if (::recv(fd_, piece, sizeof piece, 0) <= 0) {
+      if (::recv(fd_, chunk, sizeof chunk, 0) <= 0) {
         return true;
       }
     }
     return false;
   }
 
-  // A RESP request.
+  // The bytes of a RESP request.
   static std::string encodeRequest(const std::vector<std::string>& arguments) {
     std::string bytes = "*" + std::to_string(arguments.size()) + "\r\n";
     for (const auto& argument : arguments) {
@@ -111,9 +114,9 @@
                                ",dest=" + std::to_string(destination);
     return sendRequest({"MSG.PUT", "0000000000000000", id, fields, body});
   }
-  // Sends a line to the control port and waits for the reply.
-  std::string sendCommand(const std::string& text) {
-    send(text + "\n");
+  // Sends a command line to the control port and waits for the reply.
+  std::string sendCommand(const std::string& command) {
+    send(command + "\n");
     return readLine("\n");
   }
 
--- a/tests/support/sender_program.h
+++ b/tests/support/sender_program.h
@@ -1,4 +1,4 @@
-// The real program as a child process.
+// The real message_sender program as a child process.
 #pragma once
 
 #include <fcntl.h>
@@ -66,23 +66,24 @@
           {"WeightKind", "rough"}};
 }
 
-// Started by the constructor, killed by the destructor. Its state folder outlasts it.
+// The constructor starts the program, the destructor kills it. The state folder is kept.
 class SenderProgram {
  public:
-  // `state`: the folder that lasts; its configuration and its scratch folder are put beside it. `passed`: the
-  // clients' listening socket, if the program gets it from outside. `more`: further keys of the
-  // configuration.
-  SenderProgram(const std::string& state, const std::string& discovery, json endpoints, double disk_mb = 3,
-                json settings = testSettings(), const Listener* passed = nullptr, const json& more = {})
-      : state_(state), discovery_(discovery), passed_(passed) {
-    std::filesystem::create_directories(state_ + "-tmp");
+  // `state_folder`: the configuration file and the scratch folder are created beside it.
+  // `client_listener`: the listening socket for clients that the program inherits; null if the program opens
+  // its own. `extra_configuration`: further keys of the configuration file.
+  SenderProgram(const std::string& state_folder, const std::string& discovery, json endpoints,
+                double disk_mb = 3, json settings = testSettings(), const Listener* client_listener = nullptr,
+                const json& extra_configuration = {})
+      : state_folder_(state_folder), discovery_(discovery), client_listener_(client_listener) {
+    std::filesystem::create_directories(state_folder_ + "-tmp");
     config_ = {{"name", "n0"},
                {"seed", "8c1f30d27a5be964"},
                {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}, {"disk_mb", disk_mb}}},
                {"known", {{"index", 1}, {"snapshot", true}, {"endpoints", std::move(endpoints)}}},
                {"settings", std::move(settings)}};
-    if (more.is_object()) {
-      config_.update(more);
+    if (extra_configuration.is_object()) {
+      config_.update(extra_configuration);
     }
     start();
   }
@@ -94,7 +95,7 @@
   SenderProgram(const SenderProgram&) = delete;
   SenderProgram& operator=(const SenderProgram&) = delete;
 
-  // Replaces the configuration and signals the program to read it.
+  // Each of these writes a new configuration file and sends SIGHUP, so that the program reads it.
   void reload(const std::string& discovery) {
     discovery_ = discovery;
     config_["discovery"] = discovery;
@@ -105,19 +106,20 @@
     reload();
   }
 
-  // Starts it and waits until it answers PING.
+  // Starts the program and waits until it answers PING.
   void start() {
-    if (!passed_) {
+    if (!client_listener_) {
       client_port_.emplace();
     }
-    port_ = passed_ ? passed_->port : client_port_->port();
+    port_ = client_listener_ ? client_listener_->port : client_port_->port();
     config_["listen"] = "127.0.0.1:" + std::to_string(port_);
     control_port_.emplace();
     config_["control"] = "127.0.0.1:" + std::to_string(controlPort());
     config_["discovery"] = discovery_;
     writeConfig();
-    pid_ = spawn(configPath(), state_, passed_ ? passed_->fd : -1);
-    // Its own address first: a socket that is passed on may still be served by another process.
+    pid_ = spawn(configPath(), state_folder_, client_listener_ ? client_listener_->fd : -1);
+    // The control address is asked first: it belongs to this process, while an inherited socket for clients
+    // may still be served by another one.
     EXPECT_TRUE(eventually([this] {
       const std::string reply = sendCommand("READY");
       return reply == "OK ready" || reply == "ERR no list of endpoints yet";
@@ -128,24 +130,28 @@
     })) << "the program does not answer PING";
   }
 
-  // Starts a process and returns its id; `passed`: a listening socket for it.
-  static pid_t spawn(const std::string& config, const std::string& state, int passed = -1) {
+  // Starts a process and returns its id. `client_listener_fd`: the listening socket that it inherits; -1:
+  // none.
+  static pid_t spawn(const std::string& config_path, const std::string& state_folder,
+                     int client_listener_fd = -1) {
     const pid_t pid = ::fork();
     if (pid != 0) {
       return pid;
     }
     ::unsetenv("GW_PASSED_SOCKET");
-    if (passed >= 0) {
+    if (client_listener_fd >= 0) {
       constexpr int kPassedSocket = 5;
-      const int copy = ::fcntl(passed, F_DUPFD, 10);  // so that 5 is free, and a copy stays open over exec
+      // The copy gets a number of at least 10, so that 5 is free for dup2(), whose descriptor stays open in
+      // the started program.
+      const int copy = ::fcntl(client_listener_fd, F_DUPFD, 10);
       ::dup2(copy, kPassedSocket);
       ::close(copy);
       ::setenv("GW_PASSED_SOCKET", "5", 1);
     }
-    ::setenv("TMPDIR", (state + "-tmp").c_str(), 1);
+    ::setenv("TMPDIR", (state_folder + "-tmp").c_str(), 1);
     ::unsetenv("GW_CONTROL");
-    ::setenv("GW_CONFIG", config.c_str(), 1);
-    ::setenv("GW_STATE", state.c_str(), 1);
+    ::setenv("GW_CONFIG", config_path.c_str(), 1);
+    ::setenv("GW_STATE", state_folder.c_str(), 1);
     ::unsetenv("GW_LISTEN");
     ::unsetenv("GW_DISCOVERY");
     ::execl(MESSAGE_SENDER, MESSAGE_SENDER, static_cast<char*>(nullptr));
@@ -153,8 +159,8 @@
   }
 
   void signal(int number) { ::kill(pid_, number); }
-  // Waits for its end and returns its status as waitpid() does.
-  int wait() {
+  // Waits until the process has ended and returns its status in the form of waitpid().
+  int waitForExit() {
     int status = 0;
     ::waitpid(pid_, &status, 0);
     pid_ = -1;
@@ -162,45 +168,50 @@
   }
   void kill() {
     signal(SIGKILL);
-    wait();
+    waitForExit();
   }
 
   pid_t pid() const { return pid_; }
   int port() const { return port_; }
   int controlPort() const { return control_port_->port(); }
-  std::string sendCommand(const std::string& text) { return SenderClient(controlPort()).sendCommand(text); }
+  // Sends a command to the control port on a connection of its own.
+  std::string sendCommand(const std::string& command) {
+    return SenderClient(controlPort()).sendCommand(command);
+  }
 
   std::size_t openDescriptorCount() const {
-    const std::filesystem::directory_iterator all("/proc/" + std::to_string(pid_) + "/fd");
-    return static_cast<std::size_t>(std::distance(begin(all), end(all)));
+    const std::filesystem::directory_iterator descriptors("/proc/" + std::to_string(pid_) + "/fd");
+    return static_cast<std::size_t>(std::distance(begin(descriptors), end(descriptors)));
   }
-  // Limits what it may have open from now on, whatever its configuration says.
-  void limitDescriptors(rlim_t most) {
-    const rlimit limit{most, most};
+  // Sets the kernel's limit on the descriptors that the process may have open, regardless of its
+  // configuration.
+  void limitDescriptors(rlim_t max_descriptors) {
+    const rlimit limit{max_descriptors, max_descriptors};
     EXPECT_EQ(0, ::prlimit(pid_, RLIMIT_NOFILE, &limit, nullptr));
   }
 
  private:
-  std::string configPath() const { return state_ + "-config.json"; }
+  std::string configPath() const { return state_folder_ + "-config.json"; }
   void writeConfig() const { std::ofstream(configPath()) << config_.dump(); }
   void reload() {
     writeConfig();
     signal(SIGHUP);
   }
 
-  std::string state_, discovery_;
-  const Listener* passed_;
+  std::string state_folder_;
+  std::string discovery_;
+  const Listener* client_listener_;
   json config_;
   int port_ = 0;
-  std::optional<ReservedPort> client_port_,
-      control_port_;  // those of the latest start; client_port_: none if passed
-  pid_t pid_ = -1;
+  std::optional<ReservedPort> client_port_;   // of the latest start; empty if the program inherits a socket
+  std::optional<ReservedPort> control_port_;  // of the latest start
+  pid_t pid_ = -1;                            // -1: not running
 };
 
-// The program with its state folder, discovery, and one endpoint "e1" of destination 7.
+// The program with its state folder, a discovery server, and one endpoint "e1" of destination 7.
 struct SenderSetup {
-  explicit SenderSetup(HttpServer::Script script, double disk_mb = 3)
-      : endpoint(std::move(script)),
+  explicit SenderSetup(HttpServer::Handler respond, double disk_mb = 3)
+      : endpoint(std::move(respond)),
         program(folder.path(), discovery.address(), json::array({endpointEntry("e1", endpoint.address(), 7)}),
                 disk_mb) {}
   TempFolder folder;
