--- a/src/common/actions.h
+++ b/src/common/actions.h
@@ -5,30 +5,46 @@
 
 namespace delivery {
 
-// The next attempt of a message. Attempts are numbered from 0, those of earlier processes included.
+// Starts the next attempt of a message. Attempts are numbered from 0, those of earlier processes included.
 struct SendAttempt {
-  std::string id, endpoint;
-  Micros timeout = 0;  // from now on, connecting included
+  std::string id;
+  std::string endpoint;
+  // Counts from now on and includes the time to connect.
+  Micros timeout = 0;
 };
-// Its outcome is still to be reported.
+
+// Cancels an attempt in flight. Its outcome is still to be reported.
 struct CancelAttempt {
   std::string id;
   int attempt = 0;
 };
-struct Reject {  // final; submitting the message again does no harm
+
+// Rejects a message for good. Submitting the message again does no harm.
+struct Reject {
   std::string id;
-  Micros retry_after = 0;  // the pause the client should make; 0: none named
+  // The pause that the client should make before it submits the message again. 0: none is named.
+  Micros retry_after = 0;
 };
-struct Fail {  // final; the message may have run
+
+// Answers for good that a message failed. It may have run.
+struct Fail {
   std::string id;
 };
-struct SubscribeEndpoints {};  // for the simulator; a process watches the list in any case
+
+// Asks for the endpoint list. Only the simulator needs it; a sender process watches the list in any case.
+struct SubscribeEndpoints {};
+
+// Closes the idle connections to an endpoint.
 struct CloseIdleConnections {
   std::string endpoint;
 };
+
+// Asks for a TimerFired event.
 struct SetTimer {
-  Micros delay = 0;  // until a TimerFired is due
+  // From now until the event is due.
+  Micros delay = 0;
 };
+
 using Action = std::variant<SendAttempt, CancelAttempt, Reject, Fail, SubscribeEndpoints,
                             CloseIdleConnections, SetTimer, HealthRecord>;
 
