--- a/src/common/decayed_rate.h
+++ b/src/common/decayed_rate.h
@@ -7,24 +7,30 @@
 
 namespace delivery {
 
-// The part of a weight that is left after `age`, for an average over `span_seconds`.
-inline double decayOver(Micros age, double span_seconds) {
-  return std::exp(-static_cast<double>(age) / 1e6 / span_seconds);
+// Returns the share of a weight that is left after `age` microseconds in an average over `span_seconds`.
+inline double decayFactor(Micros age, double span_seconds) {
+  return std::exp(-static_cast<double>(age) / 1e6 / span_seconds);  // 1e6: from microseconds to seconds
 }
 
-// Events a second. All calls on one object have to pass the same `span_seconds`.
+// The rate of events, in events a second. All calls on one object have to pass the same `span_seconds`.
 struct DecayedRate {
-  double per_second = 0;  // as of `updated_at`
+  // The rate as of `updated_at`.
+  double per_second = 0;
   Micros updated_at = 0;
-  Micros first_event = -1;  // -1: none yet
+  // The time of the first event. -1: there was no event yet.
+  Micros first_event_at = -1;
 
-  double at(Micros now, double span_seconds) const {
-    return per_second * decayOver(now - updated_at, span_seconds);
+  // Returns the rate as of `now`, if there was no event since `updated_at`.
+  double rateAt(Micros now, double span_seconds) const {
+    return per_second * decayFactor(now - updated_at, span_seconds);
   }
-  void count(Micros now, double span_seconds) {
-    if (first_event < 0)
-      first_event = now;
-    per_second = at(now, span_seconds) + 1 / span_seconds;
+
+  // Adds one event.
+  void addEvent(Micros now, double span_seconds) {
+    if (first_event_at < 0) {
+      first_event_at = now;
+    }
+    per_second = rateAt(now, span_seconds) + 1 / span_seconds;
     updated_at = now;
   }
 };
--- a/src/decision/admission_control.h
+++ b/src/decision/admission_control.h
@@ -1,4 +1,4 @@
-// The value of delivering a message, and which messages are shed under overload.
+// Admission control: the value of delivering a message, and which messages are shed under overload.
 #pragma once
 
 #include "decision/fair_queue.h"
@@ -6,114 +6,151 @@
 
 namespace delivery {
 
-constexpr double kMaxWaitShare = 0.5;  // longest wait for a slot, as a share of the tightest objective
-constexpr double kMinValueKept = 0.9;  // beyond it, messages that would keep less of their value are shed
-constexpr double kBrokenPromiseCost = 0.3;  // share of its weight: cost of rejecting an accepted message ...
-constexpr double kPromiseSpan = 0.7;        // ... that has not run, within this share of its lifetime
-constexpr double kReservedShare = 0.06;     // of max_messages, kept free for more valuable messages
+// The longest wait for a call slot, as a share of the shortest latency objective. Beyond it messages are
+// shed.
+constexpr double kMaxSlotWaitShare = 0.5;
 
+// While the wait for a slot is too long, messages are shed that would keep less of their value than this.
+constexpr double kMinKeptValueShare = 0.9;
+
+// The cost of rejecting a protected message, as a share of its priority weight; see isProtected().
+constexpr double kProtectedRejectionCost = 0.3;
+
+// An accepted message is protected for this share of the span from its arrival to its expiry.
+constexpr double kProtectedLifetimeShare = 0.7;
+
+// The share of max_messages that is kept free for more valuable messages.
+constexpr double kReservedCapacityShare = 0.06;
+
+// The weight of the present value of a message beside the value that it loses or keeps by waiting. It is so
+// small that it only decides between messages that are equal otherwise.
+constexpr double kPresentValueWeight = 1e-3;
+
+// A message that may be shed. The smallest is shed first.
 struct ShedCandidate {
-  double value;  // left when the backlog has drained
+  // The value that is left when the backlog has drained, and the cost of a rejection.
+  double retained_value;
   Message* message;
-  auto key() const { return std::tie(value, message->order); }
+  auto key() const { return std::tie(retained_value, message->sequence_number); }
   bool operator<(const ShedCandidate& other) const { return key() < other.key(); }
 };
 
+// Values messages and selects those to shed.
 struct AdmissionControl {
-  const Turn& turn;
+  const DecisionContext& context;
   const OutlierDetector& detector;
   const RateLimiter& limiter;
-  const FairQueue& queue;
+  const FairQueue& fair_queue;
+  // The rate of messages of each tenant that this sender receives, by the tenant's name.
   std::map<std::string, DecayedRate> tenant_rates{};
-  std::uint64_t last_accepted = 0;  // order of the latest message whose client has been notified
+  // The sequence number of the latest message whose client has been notified that it is accepted.
+  std::uint64_t last_accepted_sequence_number = 0;
 
-  void assignTenant(Message& message, const std::string& name) {
-    for (const Tenant& tenant : turn.settings.tenants) {
-      if (tenant.name == name) {
+  // Sets the tenant of a new message and counts the message. An unknown tenant is ignored.
+  void assignTenant(Message& message, const std::string& tenant_name) {
+    for (const Tenant& tenant : context.settings.tenants) {
+      if (tenant.name == tenant_name) {
         message.tenant = &tenant;
       }
     }
     if (message.tenant) {
-      turn.count(tenant_rates[name]);
+      context.addEvent(tenant_rates[tenant_name]);
     }
   }
 
-  // Traffic within the quota has full weight, the excess over_quota_weight; as measured by this sender.
-  double tenantFactor(const Tenant& tenant) const {
-    const double quota = tenant.quota / turn.settings.sender_count;
-    const double rate = turn.perSecond(tenant_rates.at(tenant.name));
+  // Returns the factor of the priority weight for a tenant's messages. Traffic within the quota counts fully,
+  // the excess with over_quota_weight. The quota is divided evenly among the senders, and the traffic is that
+  // of this sender.
+  double quotaFactor(const Tenant& tenant) const {
+    const double quota = tenant.quota / context.settings.sender_count;
+    const double rate = context.ratePerSecond(tenant_rates.at(tenant.name));
     if (quota <= 0 || rate <= quota) {
       return 1;
     }
-    return quota / rate + (1 - quota / rate) * turn.settings.over_quota_weight;
+    return quota / rate + (1 - quota / rate) * context.settings.over_quota_weight;
   }
 
-  // The priority weight, less lateness, less what the tenant sends over its quota.
-  double valueAt(const Message& message, Micros when) const {
-    const double age = when - message.submitted_at, objective = message.latency_objective;
-    const double deadline = std::max<double>(objective, message.rules->deadline);
-    const double late_share = message.rules->late_weight_share;
+  // Returns the value of a message that is delivered at `moment`: its priority weight, reduced for lateness
+  // and for what its tenant sends beyond its quota.
+  double valueAt(const Message& message, Micros moment) const {
+    const double age = moment - message.submitted_at;
+    const double objective = message.latency_objective;
+    const double deadline = std::max<double>(objective, message.message_class->deadline);
+    const double late_share = message.message_class->late_weight_share;
     double share = 1;
     if (age >= deadline) {
       return 0;
     }
-    if (age > objective && turn.settings.late_decay == LateDecay::linear) {
+    if (age > objective && context.settings.late_decay == LateDecay::linear) {
       share = 1 - (1 - late_share) * (age - objective) / (deadline - objective);
     } else if (age > objective) {
       share = std::max(late_share, std::exp2(-(age - objective) / objective));
     }
-    return message.rules->priority_weight * share * (message.tenant ? tenantFactor(*message.tenant) : 1);
+    return message.message_class->priority_weight * share *
+           (message.tenant ? quotaFactor(*message.tenant) : 1);
   }
 
-  // The client of a message that was accepted in an earlier turn has been notified: rejecting it has a cost.
-  bool isPromised(const Message& message) const {
-    const double left = message.expires_at - turn.now, span = message.expires_at - message.arrived_at;
-    return message.order <= last_accepted && !message.mayHaveRun() && left > (1 - kPromiseSpan) * span;
+  // Whether rejecting the message has a cost, because its client has been notified in an earlier round that
+  // it is accepted. That no longer matters once the message may have run, or late in its lifetime.
+  bool isProtected(const Message& message) const {
+    const double time_left = message.expires_at - context.now;
+    const double lifetime = message.expires_at - message.arrived_at;
+    return message.sequence_number <= last_accepted_sequence_number && !message.mayHaveRun() &&
+           time_left > (1 - kProtectedLifetimeShare) * lifetime;
   }
 
-  std::set<ShedCandidate> candidates(Micros wait) const {  // the least valuable first
+  // Returns the queued messages that may be shed, the least valuable first. `slot_wait` is the wait for a
+  // call slot in microseconds.
+  std::set<ShedCandidate> shedCandidates(Micros slot_wait) const {
     std::set<ShedCandidate> candidates;
-    for (const auto& [id, destination] : queue.backlog) {
-      const Micros drained_at = turn.now + std::max(limiter.drainTime(*destination), wait);
-      for (Message* message : destination->queued) {
-        if (!RetryPolicy::mayReject(*message) || message->isRecoveredUntried()) {
+    for (const auto& [id, destination] : fair_queue.backlog) {
+      const Micros drained_at = context.now + std::max(limiter.drainTime(*destination), slot_wait);
+      for (Message* message : destination->queued_messages) {
+        if (!RetryPolicy::mayReject(*message) || message->isUntriedAfterRestart()) {
           continue;
         }
-        const double cost = isPromised(*message) ? kBrokenPromiseCost * message->rules->priority_weight : 0;
-        const double value = valueAt(*message, drained_at) + cost + 1e-3 * valueAt(*message, turn.now);
-        candidates.insert({value, message});
+        const double rejection_cost =
+            isProtected(*message) ? kProtectedRejectionCost * message->message_class->priority_weight : 0;
+        const double retained_value = valueAt(*message, drained_at) + rejection_cost +
+                                      kPresentValueWeight * valueAt(*message, context.now);
+        candidates.insert({retained_value, message});
       }
     }
     return candidates;
   }
 
-  // Near max_messages the least valuable messages are shed. One of many senders also sheds those that would
-  // be late while all its slots are used; with few senders, full slots only indicate an outage.
+  // Returns the messages to shed. Near max_messages these are the least valuable ones. Where there are many
+  // senders, messages that would be late are shed as well while all slots of this sender are used. With few
+  // senders, full slots only indicate an outage.
   std::vector<Message*> selectToShed(int open_messages, bool all_slots_used) const {
-    const int reserved = std::max(1, static_cast<int>(kReservedShare * turn.settings.max_messages));
-    const int most = std::max(1, turn.settings.max_messages - reserved);
-    const double slot_wait = detector.mean_latency * detector.common_slowdown / turn.settings.call_slots;
-    const double wait_each = turn.isOneOfMany() && all_slots_used ? slot_wait : 0;
-    const double longest_wait = kMaxWaitShare * turn.tightest_objective;
+    const int reserved =
+        std::max(1, static_cast<int>(kReservedCapacityShare * context.settings.max_messages));
+    const int max_open_messages = std::max(1, context.settings.max_messages - reserved);
+    const double wait_per_call =
+        detector.mean_latency * detector.common_slowdown / context.settings.call_slots;
+    const double wait_per_message = context.hasManySenders() && all_slots_used ? wait_per_call : 0;
+    const double max_slot_wait = kMaxSlotWaitShare * context.shortest_latency_objective;
     std::vector<Message*> selected;
-    double wait = 0;  // for a slot, of the messages that lack nothing else
-    for (const auto& [id, destination] : queue.backlog) {
-      if (destination->blocked_at != turn.now) {
-        wait += wait_each * destination->queued.size();
+    // The wait for a slot, in microseconds. Only messages that lack nothing but a slot count.
+    double slot_wait = 0;
+    for (const auto& [id, destination] : fair_queue.backlog) {
+      if (destination->blocked_at != context.now) {
+        slot_wait += wait_per_message * destination->queued_messages.size();
       }
     }
-    if (open_messages <= most && wait <= longest_wait) {
+    if (open_messages <= max_open_messages && slot_wait <= max_slot_wait) {
       return selected;
     }
-    for (const auto& [value, message] : candidates(static_cast<Micros>(wait))) {
-      const bool waits = wait > longest_wait && message->destination->blocked_at != turn.now;
-      const bool loses = value < kMinValueKept * valueAt(*message, message->submitted_at);
-      const bool late = waits && loses && !isPromised(*message);
-      if (open_messages <= most && !late) {
+    for (const auto& [retained_value, message] : shedCandidates(static_cast<Micros>(slot_wait))) {
+      const bool waits_too_long =
+          slot_wait > max_slot_wait && message->destination->blocked_at != context.now;
+      const bool loses_value = retained_value < kMinKeptValueShare * valueAt(*message, message->submitted_at);
+      const bool would_be_late = waits_too_long && loses_value && !isProtected(*message);
+      if (open_messages <= max_open_messages && !would_be_late) {
         continue;
       }
-      if (late) {
-        wait -= wait_each;
+      if (would_be_late) {
+        slot_wait -= wait_per_message;
       }
       --open_messages;
       selected.push_back(message);
--- a/src/decision/fair_queue.h
+++ b/src/decision/fair_queue.h
@@ -1,80 +1,102 @@
-// Reservation-based fair queuing (RePAIR, 3.1) of destinations: local tags by reservation, global by weight.
+// Reservation-based fair queuing of destinations (RePAIR, section 3.1): local tags by reservation, global
+// tags by weight.
 #pragma once
 
 #include "decision/outlier_detection.h"
 
 namespace delivery {
 
-constexpr double kIdleCredits = 2;  // sigma in RePAIR, section 3.3
+// Idle credit: how many steps of its global tag a destination may lag behind after an idle time. This is
+// sigma in RePAIR, section 3.3.
+constexpr double kIdleCredits = 2;
 
-struct QueuePosition {  // of a destination; the smallest is served first
-  bool has_no_untried, in_global_phase;
+// The position of a destination with a backlog. The smallest is served first.
+struct QueuePosition {
+  // False, and so served first, if the queue holds a message that is untried since a restart.
+  bool has_no_untried_message;
+  // The reservation entitles no message to be sent now. The destination competes by its weight.
+  bool in_global_phase;
+  // The first local tag, or in the global phase the first global one.
   double tag;
-  auto key() const { return std::tie(has_no_untried, in_global_phase, tag); }
+  auto key() const { return std::tie(has_no_untried_message, in_global_phase, tag); }
   bool operator<(const QueuePosition& other) const { return key() < other.key(); }
 };
 
+// Keeps the queues of all destinations and the tags of the queued messages.
 struct FairQueue {
-  const Turn& turn;
+  const DecisionContext& context;
   const OutlierDetector& detector;
-  std::map<std::int64_t, Destination*> backlog{};  // destinations with queued messages
-  double global_shift = 0;                         // added to every stored global tag
+  // The destinations with queued messages.
+  std::map<std::int64_t, Destination*> backlog{};
+  // This is added to every stored global tag, so that all of them can be moved at once. In microseconds.
+  double global_tag_shift = 0;
 
-  // Tag adjustment: moves all global tags so that the smallest is now.
+  // RePAIR's tag adjustment: moves all global tags by the same span, so that the smallest is now. Otherwise a
+  // destination that becomes active would starve a backlogged one whose tags ran ahead of real time.
   void adjustGlobalTags() {
-    double smallest = 1e300;
+    double smallest = kUnboundedMicros;
     for (const auto& [id, destination] : backlog) {
-      smallest = std::min(smallest, destination->tags.front().global + global_shift);
+      smallest = std::min(smallest, destination->tags.front().global + global_tag_shift);
     }
-    if (smallest < 1e300) {
-      global_shift += turn.now - smallest;
+    if (smallest < kUnboundedMicros) {
+      global_tag_shift += context.now - smallest;
     }
   }
 
-  double globalStep(const Destination& destination) const {  // 1/w, in microseconds
+  // Returns the step between the global tags of a destination: RePAIR's 1/w, in microseconds. All
+  // destinations without a listed weight have the same step.
+  double globalTagStep(const Destination& destination) const {
     for (const Endpoint* endpoint : destination.endpoints) {
-      if (endpoint->isReady() && turn.settings.weight_kind != WeightKind::none && endpoint->info.weight > 0) {
+      if (endpoint->isReady() && context.settings.weight_kind != WeightKind::none &&
+          endpoint->info.weight > 0) {
         return kMicrosPerSecond / endpoint->info.weight;
       }
     }
     return kMicrosPerSecond;
   }
 
-  // Tag assignment, with M = one start for each objective of the most urgent class queued.
+  // Queues a message and assigns a new tag to its destination. RePAIR's reservation M is one message in each
+  // latency objective of the most urgent class queued.
   void push(Message& message, Micros not_before) {
     Destination& destination = *message.destination;
-    Tag& last = destination.last_tag;
+    Tag& last_tag = destination.last_tag;
     adjustGlobalTags();
     message.queued = true;
     message.not_before = not_before;
-    destination.queued.push_back(&message);
-    double& period = destination.reservation_period = 1e300;
-    for (const Message* queued : destination.queued) {
-      period = std::min<double>(period, queued->rules->latency_objective);
+    destination.queued_messages.push_back(&message);
+    double& period = destination.reservation_period = kUnboundedMicros;
+    for (const Message* queued : destination.queued_messages) {
+      period = std::min<double>(period, queued->message_class->latency_objective);
     }
-    const double now = turn.now, step = globalStep(destination);
-    // No idle credit after an outage: with its backlog it would overload the destination again.
-    const bool known = last.global > -1e17 && !detector.isWarmingUp(destination.shared.health);
-    const double credit = destination.tags.empty() && known ? kIdleCredits * step : 0;
-    last = {std::max(last.local + period, now), std::max(last.global + step, now - global_shift - credit)};
-    destination.tags.push_back(last);
+    const double now = context.now;
+    const double step = globalTagStep(destination);
+    // A destination that is warming up after an outage gets no idle credit: with the backlog of the outage it
+    // would be overloaded again.
+    const bool may_have_credit =
+        last_tag.global > kSmallestAssignedTag && !detector.isWarmingUp(destination.shared_scope.health);
+    const double credit = destination.tags.empty() && may_have_credit ? kIdleCredits * step : 0;
+    last_tag = {std::max(last_tag.local + period, now),
+                std::max(last_tag.global + step, now - global_tag_shift - credit)};
+    destination.tags.push_back(last_tag);
     backlog[destination.id] = &destination;
   }
 
-  void erase(Message& message) {
+  // Removes a message from its queue and leaves the tags as they are.
+  void eraseMessage(Message& message) {
     Destination& destination = *message.destination;
-    destination.queued.erase(std::find(destination.queued.begin(), destination.queued.end(), &message));
+    std::vector<Message*>& queued_messages = destination.queued_messages;
+    queued_messages.erase(std::find(queued_messages.begin(), queued_messages.end(), &message));
     message.queued = false;
-    if (destination.queued.empty()) {
+    if (queued_messages.empty()) {
       backlog.erase(destination.id);
     }
   }
 
-  // Removes a message to send, with the first tag. A start in the global phase leaves the reservation
-  // unchanged.
-  void start(Message& message, bool in_global_phase) {
+  // Removes a message that is about to be sent, with the first tag. What is sent in the global phase does not
+  // count against the reservation, so the remaining local tags move back by one period.
+  void removeForSending(Message& message, bool in_global_phase) {
     Destination& destination = *message.destination;
-    erase(message);
+    eraseMessage(message);
     destination.tags.pop_front();
     if (!in_global_phase) {
       return;
@@ -85,28 +107,32 @@
     destination.last_tag.local -= destination.reservation_period;
   }
 
-  // Removes a message that is not to be sent, with its destination's last tag.
+  // Removes a message that is not to be sent, with the last tag of its destination.
   void withdraw(Message& message) {
     Destination& destination = *message.destination;
-    erase(message);
+    eraseMessage(message);
     destination.tags.pop_back();
     destination.last_tag.local -= destination.reservation_period;
-    destination.last_tag.global -= globalStep(destination);
+    destination.last_tag.global -= globalTagStep(destination);
   }
 
-  // Destinations in the order in which they may use a free slot.
+  // Returns the destinations in the order in which they may use a free call slot. Those are left out from
+  // which nothing could be sent in this round.
   std::multimap<QueuePosition, Destination*> candidates() const {
-    std::multimap<QueuePosition, Destination*> order;
-    const auto untried = [](const Message* each) { return each->isRecoveredUntried(); };
+    std::multimap<QueuePosition, Destination*> ordered;
+    const auto is_untried = [](const Message* message) { return message->isUntriedAfterRestart(); };
     for (const auto& [id, destination] : backlog) {
-      const Tag& first = destination->tags.front();
-      const bool due = first.local <= turn.now;
-      const bool has_untried = std::any_of(destination->queued.begin(), destination->queued.end(), untried);
-      if (destination->blocked_at != turn.now) {
-        order.insert({{!has_untried, !due, due ? first.local : first.global}, destination});
+      const Tag& first_tag = destination->tags.front();
+      const bool reservation_due = first_tag.local <= context.now;
+      const bool has_untried_message =
+          std::any_of(destination->queued_messages.begin(), destination->queued_messages.end(), is_untried);
+      if (destination->blocked_at != context.now) {
+        ordered.insert(
+            {{!has_untried_message, !reservation_due, reservation_due ? first_tag.local : first_tag.global},
+             destination});
       }
     }
-    return order;
+    return ordered;
   }
 };
 
--- a/src/decision/outlier_detection.h
+++ b/src/decision/outlier_detection.h
@@ -1,102 +1,148 @@
-// Detects outlier endpoints, ejects those that serve nothing, and limits the call slots outliers may use.
+// Outlier detection: finds endpoints that are slower or fail more often than usual, ejects destinations and
+// endpoints that serve nothing, and limits the call slots that outliers may use.
 #pragma once
 
 #include "decision/state.h"
 
 namespace delivery {
 
-constexpr int kFailuresToEject = 3;  // in a row; where a sender is one of many, one
+// So many failures, throttled calls or overdue calls show that nothing is served. With many senders one
+// failure does.
+constexpr int kFailuresToEject = 3;
+
+// With a larger share of failures in the latest outcomes a scope is ejected.
 constexpr double kMaxFailureShare = 0.5;
-constexpr double kOutcomeGain = 0.25;   // weight of the newest outcome in the shares
-constexpr double kSlowRatio = 4;        // recent over usual latency, relative to the common slowdown
-constexpr double kRecentGain = 0.25;    // weight of the newest latency in the recent one
-constexpr double kUsualGain = 0.04;     // and in the usual one
-constexpr double kTimeoutRatio = 8;     // time-out of a call, in usual latencies
-constexpr double kOverdueRatio = 4;     // overdue after this many usual latencies without an answer
-constexpr double kBulkheadShare = 0.5;  // of the slots, for all outliers together; one slot at least
 
+// The weight of the newest outcome in the shares of HealthStats.
+constexpr double kOutcomeGain = 0.25;
+
+// An endpoint is slow if its recent latency is more than this multiple of its baseline, beyond the common
+// slowdown.
+constexpr double kSlowRatio = 4;
+
+// The weight of the newest latency in the recent latency, and its smallest weight in the baseline.
+constexpr double kRecentLatencyGain = 0.25;
+constexpr double kBaselineLatencyGain = 0.04;
+
+// An endpoint is compared with others only if its baseline has more latency samples than this.
+constexpr int kMinLatencySamples = 4;
+
+// A common slowdown is measured only over so many endpoints or more.
+constexpr std::size_t kMinEndpointsToCompare = 3;
+
+// An endpoint counts as recently active for this many overload windows after its latest outcome.
+constexpr Micros kRecentActivityWindows = 2;
+
+// The time-out of a call, in baseline latencies.
+constexpr double kTimeoutRatio = 8;
+
+// A call is overdue after this many baseline latencies without an answer.
+constexpr double kOverdueRatio = 4;
+
+// The share of the call slots for the calls to all outliers together. It is one slot at least.
+constexpr double kBulkheadShare = 0.5;
+
+// Records outcomes and latencies, and decides which endpoints are outliers or ejected.
 struct OutlierDetector {
-  const Turn& turn;
-  double common_slowdown = 1, mean_latency = 0;  // mean_latency: of all answered calls, in microseconds
+  const DecisionContext& context;
+  // How much slower than their baseline the endpoints are at present, by the median. 1 or more.
+  double common_slowdown = 1;
+  // The mean latency of all answered calls, in microseconds. Valid if there were any.
+  double mean_latency = 0;
   int answered_calls = 0;
+  // The endpoints with recent outcomes, by their id.
   std::map<std::string, Endpoint*> recently_active{};
 
+  // Whether the scope is ejected, or in the slow start after an outage.
   bool isWarmingUp(const HealthStats& health) const {
-    return health.ejected || turn.now - health.warming_since < turn.settings.slow_start_time;
+    return health.ejected || context.now - health.warming_since < context.settings.slow_start_time;
   }
+
   bool isOutlier(const HealthStats& health) const {
-    const bool slow = health.latency_samples > 4 && health.relative_latency > kSlowRatio * common_slowdown;
-    return health.ejected || slow || health.overdue_calls > 0 || health.consecutive_failures > 0;
+    const bool is_slow =
+        health.latency_samples > kMinLatencySamples && health.relative_latency > kSlowRatio * common_slowdown;
+    return health.ejected || is_slow || health.overdue_calls > 0 || health.consecutive_failures > 0;
   }
+
+  // Whether the endpoint itself or the scope that governs it is an outlier.
   bool isOutlier(Endpoint& endpoint) const {
-    return isOutlier(endpoint.own.health) || isOutlier(endpoint.scope().health);
+    return isOutlier(endpoint.own_scope.health) || isOutlier(endpoint.governingScope().health);
   }
 
-  double usualLatency(const Endpoint& endpoint) const {
-    const HealthStats& shared = endpoint.destination->shared.health;
-    if (endpoint.own.health.latency_samples > 0) {
-      return endpoint.own.health.usual_latency;
+  // Returns the latency of the endpoint over the long term, in microseconds. Without samples of the endpoint
+  // this is that of its destination, or of all calls, or a guess.
+  double baselineLatency(const Endpoint& endpoint) const {
+    const HealthStats& shared_health = endpoint.destination->shared_scope.health;
+    if (endpoint.own_scope.health.latency_samples > 0) {
+      return endpoint.own_scope.health.baseline_latency;
     }
-    if (shared.latency_samples > 0) {
-      return shared.usual_latency;
+    if (shared_health.latency_samples > 0) {
+      return shared_health.baseline_latency;
     }
-    return answered_calls > 0 ? mean_latency : turn.tightest_objective / kTimeoutRatio;
+    // The guess makes the time-out of a call equal to the shortest latency objective.
+    return answered_calls > 0 ? mean_latency : context.shortest_latency_objective / kTimeoutRatio;
   }
 
   void eject(HealthStats& health) const {
     health.ejected = true;
-    health.warming_since = turn.now;
-    health.first_failure = std::min(health.first_failure, turn.now);
+    health.warming_since = context.now;
+    health.first_failure_at = std::min(health.first_failure_at, context.now);
   }
 
-  // A slowdown that is common to all makes no outlier: each is compared with the median.
+  // Measures the common slowdown. A slowdown that all endpoints share makes none of them an outlier, so each
+  // is compared with the median of those that were recently active.
   void measureCommonSlowdown() {
-    std::vector<double> ratios;
+    std::vector<double> relative_latencies;
     for (auto it = recently_active.begin(); it != recently_active.end();) {
-      const HealthStats& health = it->second->own.health;
-      const bool recent = turn.now - health.last_outcome < 2 * turn.settings.overload_window;
-      if (recent && health.latency_samples > 4) {
-        ratios.push_back(health.relative_latency);
+      const HealthStats& health = it->second->own_scope.health;
+      const bool is_recent =
+          context.now - health.last_outcome_at < kRecentActivityWindows * context.settings.overload_window;
+      if (is_recent && health.latency_samples > kMinLatencySamples) {
+        relative_latencies.push_back(health.relative_latency);
       }
-      it = recent ? std::next(it) : recently_active.erase(it);
+      it = is_recent ? std::next(it) : recently_active.erase(it);
     }
     common_slowdown = 1;
-    if (ratios.size() < 3) {
+    if (relative_latencies.size() < kMinEndpointsToCompare) {
       return;
     }
-    const auto median = ratios.begin() + static_cast<long>(ratios.size() / 2);
-    std::nth_element(ratios.begin(), median, ratios.end());
+    const auto median = relative_latencies.begin() + static_cast<long>(relative_latencies.size() / 2);
+    std::nth_element(relative_latencies.begin(), median, relative_latencies.end());
     common_slowdown = std::max(1.0, *median);
   }
 
-  // Overdue calls show a destination that hangs before any time-out does.
-  void countOverdue(const InFlightCalls& calls) const {
-    for (const auto& [order, reference] : calls.attempts) {
-      clearOverdue(*reference.attempt().endpoint);
+  // Counts the overdue calls of all endpoints and destinations anew, and ejects those with too many. Overdue
+  // calls show that a destination hangs before any of its calls times out.
+  void countOverdueCalls(const InFlightCalls& calls) const {
+    for (const auto& [sequence_number, reference] : calls.attempts) {
+      clearOverdueCalls(*reference.attempt().endpoint);
     }
-    for (const auto& [order, reference] : calls.attempts) {
+    for (const auto& [sequence_number, reference] : calls.attempts) {
       Attempt& attempt = reference.attempt();
-      HealthStats &own = attempt.endpoint->own.health, &health = attempt.endpoint->scope().health;
-      const double limit = kOverdueRatio * common_slowdown * usualLatency(*attempt.endpoint);
-      if (turn.now - attempt.sent_at < limit) {
+      HealthStats& own_health = attempt.endpoint->own_scope.health;
+      HealthStats& governing_health = attempt.endpoint->governingScope().health;
+      const double overdue_after = kOverdueRatio * common_slowdown * baselineLatency(*attempt.endpoint);
+      if (context.now - attempt.sent_at < overdue_after) {
         continue;
       }
       attempt.overdue = true;
-      if (own.last_success < attempt.sent_at) {
-        ++own.overdue_calls;
+      if (own_health.last_success_at < attempt.sent_at) {
+        ++own_health.overdue_calls;
       }
-      if (&health != &own && health.last_success < attempt.sent_at) {
-        ++health.overdue_calls;
+      if (&governing_health != &own_health && governing_health.last_success_at < attempt.sent_at) {
+        ++governing_health.overdue_calls;
       }
-      if (health.overdue_calls >= kFailuresToEject) {
-        eject(health);
+      if (governing_health.overdue_calls >= kFailuresToEject) {
+        eject(governing_health);
       }
     }
   }
-  static void clearOverdue(Endpoint& endpoint) {
-    endpoint.own.health.overdue_calls = endpoint.destination->shared.health.overdue_calls = 0;
+
+  static void clearOverdueCalls(Endpoint& endpoint) {
+    endpoint.own_scope.health.overdue_calls = endpoint.destination->shared_scope.health.overdue_calls = 0;
   }
 
+  // Records that an endpoint had an outcome, and if it answered, the latency in the mean of all calls.
   void recordActivity(Endpoint& endpoint, bool answered, Micros latency) {
     recently_active[endpoint.info.id] = &endpoint;
     if (!answered) {
@@ -106,74 +152,85 @@
     mean_latency += (latency - mean_latency) / answered_calls;
   }
 
+  // Records a latency in microseconds. That of a call without an answer counts only as a recent latency, and
+  // only if it is longer than the recent ones: a quick failure says nothing about the latency.
   void recordLatency(HealthStats& health, double latency, bool answered) const {
     if (health.latency_samples == 0 && !answered) {
       return;
     }
     if (health.latency_samples == 0) {
-      health.usual_latency = latency;
+      health.baseline_latency = latency;
     }
-    double& usual = health.usual_latency;
-    const double ratio = latency / std::max(1.0, usual);
-    if (!answered && ratio < health.relative_latency) {
-      return;  // a quick failure is no sample of the latency
+    double& baseline = health.baseline_latency;
+    const double relative_latency = latency / std::max(1.0, baseline);
+    if (!answered && relative_latency < health.relative_latency) {
+      return;
     }
-    health.relative_latency += kRecentGain * (ratio - health.relative_latency);
-    const double gain = std::max(kUsualGain, 1.0 / (health.latency_samples + 1));
+    health.relative_latency += kRecentLatencyGain * (relative_latency - health.relative_latency);
+    // The first samples are averaged evenly.
+    const double gain = std::max(kBaselineLatencyGain, 1.0 / (health.latency_samples + 1));
     if (answered && !isOutlier(health)) {
-      usual += gain * (std::min(latency, kSlowRatio * usual) - usual);
+      baseline += gain * (std::min(latency, kSlowRatio * baseline) - baseline);
     }
     if (answered) {
       ++health.latency_samples;
     }
   }
 
-  // Returns whether this outcome ejects, or ends an ejection.
+  // Records an outcome. Returns whether it ejects the scope, or ends its ejection.
   bool recordOutcome(HealthStats& health, AttemptResult result) const {
-    health.last_outcome = turn.now;
-    const bool unknown =
+    health.last_outcome_at = context.now;
+    const bool is_unknown =
         result == AttemptResult::error || result == AttemptResult::timeout || result == AttemptResult::reset;
-    health.unknown_share += kOutcomeGain * ((unknown ? 1.0 : 0.0) - health.unknown_share);
+    health.unknown_outcome_share += kOutcomeGain * ((is_unknown ? 1.0 : 0.0) - health.unknown_outcome_share);
     if (result == AttemptResult::ok) {
       return recordSuccess(health);
     }
     return recordFailure(health, result == AttemptResult::throttled);
   }
 
+  // Records a success. It ends an ejection, and starts the slow start after an outage: after an ejection, or
+  // after failures with no success for a whole overload window. An ejection after few failures within less
+  // than half a window needs no slow start.
   bool recordSuccess(HealthStats& health) const {
-    const Micros now = turn.now, window = turn.settings.overload_window;
+    const Micros now = context.now;
+    const Micros window = context.settings.overload_window;
     const bool was_ejected = health.ejected;
-    const bool was_failing = health.consecutive_failures > 0 && health.first_failure != kNever;
-    const bool brief = health.failure_share <= kMaxFailureShare && now - health.first_failure < window / 2;
-    if (was_ejected || (was_failing && now - health.last_success > window)) {
-      health.warming_since = was_ejected && brief ? -kNever : now;
+    const bool was_failing = health.consecutive_failures > 0 && health.first_failure_at != kNever;
+    const bool failures_were_minor =
+        health.failure_share <= kMaxFailureShare && now - health.first_failure_at < window / 2;
+    if (was_ejected || (was_failing && now - health.last_success_at > window)) {
+      health.warming_since = was_ejected && failures_were_minor ? kLongAgo : now;
     }
     health.failure_share -= kOutcomeGain * health.failure_share;
     health.ejected = false;
     health.consecutive_failures = health.consecutive_throttles = 0;
-    health.first_failure = kNever;
-    health.last_success = now;
+    health.first_failure_at = kNever;
+    health.last_success_at = now;
     return was_ejected;
   }
 
-  // Failures, time-outs, failed connects and unbroken throttling all show that nothing is served.
+  // Records a failed or throttled call. Failures, time-outs, failed connects and unbroken throttling all show
+  // that nothing is served. Returns whether the scope is ejected for it.
   bool recordFailure(HealthStats& health, bool throttled) const {
-    const Micros window = turn.settings.overload_window;
-    int &failures = health.consecutive_failures, &throttles = health.consecutive_throttles;
-    health.first_failure = std::min(health.first_failure, turn.now);
+    const Micros window = context.settings.overload_window;
+    int& failures = health.consecutive_failures;
+    int& throttles = health.consecutive_throttles;
+    health.first_failure_at = std::min(health.first_failure_at, context.now);
     throttles += throttled ? 1 : 0;
     failures += throttled ? 0 : 1;
     if (!throttled) {
       health.failure_share += kOutcomeGain * (1 - health.failure_share);
     }
-    const Micros failing_for = turn.now - std::max(health.last_success, health.first_failure);
-    const bool refuses_all = throttles >= kFailuresToEject && failing_for > window / 2;
-    const bool lasting = turn.isOneOfMany() || failures >= kFailuresToEject || failing_for > window;
-    const bool dead = failures > 0 && lasting;
-    if (health.failure_share <= kMaxFailureShare && !refuses_all && !dead) {
+    const Micros failing_for = context.now - std::max(health.last_success_at, health.first_failure_at);
+    const bool throttles_all = throttles >= kFailuresToEject && failing_for > window / 2;
+    const bool has_enough_evidence =
+        context.hasManySenders() || failures >= kFailuresToEject || failing_for > window;
+    const bool fails_all = failures > 0 && has_enough_evidence;
+    if (health.failure_share <= kMaxFailureShare && !throttles_all && !fails_all) {
       return false;
     }
-    if (refuses_all && throttled) {
+    if (throttles_all && throttled) {
       failures = std::max(failures, 1);
     }
     eject(health);
@@ -181,48 +238,51 @@
   }
 };
 
-// Isolates outliers: all of them together use at most half of the call slots.
+// Isolates outliers: the calls to all of them together use only a share of the call slots.
 struct OutlierBulkhead {
-  Turn& turn;
+  DecisionContext& context;
   const InFlightCalls& calls;
   const OutlierDetector& detector;
 
-  bool hasRoom() const { return excess() < 0; }
+  // Whether a further call to an outlier may be started.
+  bool hasRoom() const { return excessCalls() < 0; }
 
-  int excess() const {
+  // Returns by how many calls to outliers the bulkhead is exceeded; negative while there is room.
+  int excessCalls() const {
     std::set<std::uint64_t> outlier_calls;
-    for (const auto& [order, reference] : calls.attempts) {
+    for (const auto& [sequence_number, reference] : calls.attempts) {
       if (detector.isOutlier(*reference.attempt().endpoint)) {
-        outlier_calls.insert(reference.attempt().call);
+        outlier_calls.insert(reference.attempt().call_number);
       }
     }
-    const int size = std::max(1, static_cast<int>(kBulkheadShare * turn.settings.call_slots));
-    return static_cast<int>(outlier_calls.size()) - size;
+    const int max_calls = std::max(1, static_cast<int>(kBulkheadShare * context.settings.call_slots));
+    return static_cast<int>(outlier_calls.size()) - max_calls;
   }
 
-  // Calls that were in flight when their destination became an outlier may exceed the bulkhead. When no slot
-  // is left for others, overdue ones are cancelled, those first that may be repeated.
-  void cancelExcess() const {
-    if (!turn.settings.may_cancel || !calls.allSlotsUsed()) {
+  // Cancels overdue calls to outliers while no slot is left for others. The bulkhead may be exceeded by calls
+  // that were in flight when their destination became an outlier. Calls of messages that may be repeated are
+  // cancelled first.
+  void cancelExcessCalls() const {
+    if (!context.settings.may_cancel || !calls.allSlotsUsed()) {
       return;
     }
-    int to_cancel = excess();
-    std::multimap<Idempotency, AttemptRef> overdue;
-    for (const auto& [order, reference] : calls.attempts) {
+    int calls_to_cancel = excessCalls();
+    std::multimap<Idempotency, AttemptRef> overdue_attempts;
+    for (const auto& [sequence_number, reference] : calls.attempts) {
       const Attempt& attempt = reference.attempt();
       if (attempt.cancel_requested) {
-        --to_cancel;
+        --calls_to_cancel;
       } else if (attempt.overdue && detector.isOutlier(*attempt.endpoint)) {
-        overdue.insert({reference.message->rules->idempotency, reference});
+        overdue_attempts.insert({reference.message->message_class->idempotency, reference});
       }
     }
-    for (const auto& [idempotency, reference] : overdue) {
-      if (to_cancel <= 0) {
+    for (const auto& [idempotency, reference] : overdue_attempts) {
+      if (calls_to_cancel <= 0) {
         return;
       }
-      --to_cancel;
+      --calls_to_cancel;
       reference.attempt().cancel_requested = true;
-      turn.actions.emplace_back(CancelAttempt{reference.message->id, static_cast<int>(reference.index)});
+      context.actions.emplace_back(CancelAttempt{reference.message->id, static_cast<int>(reference.index)});
     }
   }
 };
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -1,95 +1,113 @@
-// Which messages may be sent, repeated or returned, with which time-out, and when the next attempt is due.
+// The retry policy: which messages may be sent, sent again or rejected, with which time-out, and when the
+// next attempt is due.
 #pragma once
 
 #include "decision/rate_limiter.h"
 
 namespace delivery {
 
-constexpr double kNonIdempotentPatience = 2;  // factor of a non-idempotent call's time-out
-constexpr double kMaxUnknownShare = 0.3;      // none is started where more of the latest outcomes are unknown
+// The factor of the time-out of a non-idempotent message, which can't be sent again after a time-out.
+constexpr double kNonIdempotentTimeoutFactor = 2;
 
+// A non-idempotent message is not sent where a larger share of the latest outcomes is unknown.
+constexpr double kMaxUnknownOutcomeShare = 0.3;
+
+// The backoff is halved for each remaining attempt, up to this number of attempts.
+constexpr int kMaxBackoffHalvings = 60;
+
+// Decides on repeats, rejections and time-outs of messages.
 struct RetryPolicy {
-  const Turn& turn;
+  const DecisionContext& context;
   const OutlierDetector& detector;
   const RateLimiter& limiter;
 
-  // The idempotency rule: what may have run is repeated only if it is idempotent, or while and where its key
-  // is deduplicated; two attempts are in flight at once only if the site allows hedging.
+  // Whether the message may be sent to the endpoint. A message that may have run is sent again only if it is
+  // idempotent, or while and where it is deduplicated. Two attempts of a message are in flight at once only
+  // if the settings allow it.
   bool maySend(const Message& message, Endpoint& endpoint) const {
-    const MessageClass& rules = *message.rules;
-    if (static_cast<int>(message.attempts.size()) >= turn.settings.max_attempts) {
+    const MessageClass& message_class = *message.message_class;
+    if (static_cast<int>(message.attempts.size()) >= context.settings.max_attempts) {
       return false;
     }
-    if (message.attempts_in_flight > 0 && !turn.settings.may_hedge) {
+    if (message.attempts_in_flight > 0 && !context.settings.may_hedge) {
       return false;
     }
-    if (rules.idempotency == Idempotency::idempotent || !message.mayHaveRun()) {
+    if (message_class.idempotency == Idempotency::idempotent || !message.mayHaveRun()) {
       return true;
     }
-    if (rules.idempotency == Idempotency::non_idempotent) {
+    if (message_class.idempotency == Idempotency::non_idempotent) {
       return false;
     }
     return std::all_of(message.attempts.begin(), message.attempts.end(), [&](const Attempt& earlier) {
-      return !earlier.may_have_run || isDeduplicated(rules, earlier, endpoint);
+      return !earlier.may_have_run || isDeduplicated(message_class, earlier, endpoint);
     });
   }
 
-  bool isDeduplicated(const MessageClass& rules, const Attempt& earlier, Endpoint& endpoint) const {
-    const bool all = rules.deduplication_scope == DeduplicationScope::all;
-    const bool cell = rules.deduplication_scope == DeduplicationScope::cell;
-    if (!all && (!earlier.endpoint || earlier.endpoint->info.zone != endpoint.info.zone)) {
+  // Whether the endpoint would recognize a message sent now as a repeat of the earlier attempt.
+  bool isDeduplicated(const MessageClass& message_class, const Attempt& earlier, Endpoint& endpoint) const {
+    const bool scope_is_all = message_class.deduplication_scope == DeduplicationScope::all;
+    const bool scope_is_cell = message_class.deduplication_scope == DeduplicationScope::cell;
+    if (!scope_is_all && (!earlier.endpoint || earlier.endpoint->info.zone != endpoint.info.zone)) {
       return false;
     }
-    if (cell && earlier.endpoint->destination != endpoint.destination) {
+    if (scope_is_cell && earlier.endpoint->destination != endpoint.destination) {
       return false;
     }
-    // The repeat may have to wait for its connection to come up.
-    const Micros longest_way = 2 * turn.settings.tick + turn.settings.connect_timeout;
-    return turn.now <= earlier.sent_at + rules.deduplication_window - longest_way;
+    // The repeat has to arrive within the window, and may have to wait for its connection to come up.
+    const Micros max_time_to_arrive = 2 * context.settings.tick + context.settings.connect_timeout;
+    return context.now <= earlier.sent_at + message_class.deduplication_window - max_time_to_arrive;
   }
 
-  // A rejection promises that submitting the message again does no harm.
+  // Whether the message may be rejected. A rejection promises that submitting the message again does no harm.
   static bool mayReject(const Message& message) {
-    const MessageClass& rules = *message.rules;
-    if (rules.idempotency == Idempotency::idempotent || !message.mayHaveRun()) {
+    const MessageClass& message_class = *message.message_class;
+    if (message_class.idempotency == Idempotency::idempotent || !message.mayHaveRun()) {
       return true;
     }
-    return rules.idempotency == Idempotency::deduplicated &&
-           rules.deduplication_scope == DeduplicationScope::all;
+    return message_class.idempotency == Idempotency::deduplicated &&
+           message_class.deduplication_scope == DeduplicationScope::all;
   }
 
+  // Whether the message can still be sent before it expires. A first attempt can also wait for endpoints that
+  // are not listed yet.
   bool hasAttemptLeft(const Message& message) const {
     for (Endpoint* endpoint : message.destination->endpoints) {
-      if (maySend(message, *endpoint) && endpoint->scope().rate.retry_after_until < message.expires_at) {
+      if (maySend(message, *endpoint) &&
+          endpoint->governingScope().rate.retry_after_until < message.expires_at) {
         return true;
       }
     }
     return message.attempts.empty() && message.destination->endpoints.empty();
   }
 
-  // kTimeoutRatio usual latencies, stretched by the present slowdown; at least a tick, as outcomes are
-  // processed once a tick.
-  Micros timeout(const Message& message, Endpoint& endpoint) const {
-    const HealthStats& health = endpoint.own.health;
-    const double left = std::max<Micros>(1, message.expires_at - turn.now), tick = turn.settings.tick;
-    const double recent = health.latency_samples > 0 ? health.relative_latency : 1.0;
-    const double slowness = std::max({1.0, detector.common_slowdown, recent});
-    const bool repeatable = message.rules->idempotency != Idempotency::non_idempotent;
-    const double patience = kTimeoutRatio * (repeatable ? 1 : kNonIdempotentPatience);
-    const double most = patience * detector.usualLatency(endpoint) * slowness;
-    return static_cast<Micros>(std::min(left, std::max({1.0, tick, most})));
+  // Returns the time-out of an attempt: kTimeoutRatio baseline latencies, multiplied by the present slowdown,
+  // but not beyond the expiry of the message. It is a tick at least, as outcomes are processed once a tick.
+  Micros attemptTimeout(const Message& message, Endpoint& endpoint) const {
+    const HealthStats& health = endpoint.own_scope.health;
+    const double time_left = std::max<Micros>(1, message.expires_at - context.now);
+    const double tick = context.settings.tick;
+    const double relative_latency = health.latency_samples > 0 ? health.relative_latency : 1.0;
+    const double slowdown = std::max({1.0, detector.common_slowdown, relative_latency});
+    const bool may_repeat = message.message_class->idempotency != Idempotency::non_idempotent;
+    const double timeout_ratio = kTimeoutRatio * (may_repeat ? 1 : kNonIdempotentTimeoutFactor);
+    const double timeout = timeout_ratio * detector.baselineLatency(endpoint) * slowdown;
+    return static_cast<Micros>(std::min(time_left, std::max({1.0, tick, timeout})));
   }
 
-  // Exponential backoff, sized so that the remaining attempts last for the time left. One of many senders
-  // waits for an objective at least, as an earlier retry would displace a first attempt still in time.
+  // Returns when the next attempt may be started after one that failed at the endpoint. The backoff is
+  // exponential and sized so that the remaining attempts last for the time left. With many senders it is at
+  // least the shortest latency objective, as an earlier retry would displace a first attempt that is still in
+  // time, and a random delay keeps them from returning to an ejected destination at once.
   Micros nextAttemptAt(const Message& message, Endpoint& endpoint) const {
-    const int attempts_left = turn.settings.max_attempts - static_cast<int>(message.attempts.size());
-    const double left = message.expires_at - turn.now;
-    double least = detector.usualLatency(endpoint);
-    if (turn.isOneOfMany()) {
-      least = turn.tightest_objective + limiter.returnDelay(endpoint.scope(), *message.destination);
+    const int attempts_left = context.settings.max_attempts - static_cast<int>(message.attempts.size());
+    const double time_left = message.expires_at - context.now;
+    double min_backoff = detector.baselineLatency(endpoint);
+    if (context.hasManySenders()) {
+      min_backoff = context.shortest_latency_objective +
+                    limiter.returnDelay(endpoint.governingScope(), *message.destination);
     }
-    return turn.now + static_cast<Micros>(std::max(least, left * std::exp2(-std::min(attempts_left, 60))));
+    const int halvings = std::min(attempts_left, kMaxBackoffHalvings);
+    return context.now + static_cast<Micros>(std::max(min_backoff, time_left * std::exp2(-halvings)));
   }
 };
 
--- a/src/decision/scheduler.h
+++ b/src/decision/scheduler.h
@@ -1,5 +1,5 @@
-// The decision module's entry: one DeliveryScheduler decides for one sending process. It does no I/O and
-// reads no clock: the event loop passes events in and carries out the actions it gets back.
+// The entry of the decision module: one DeliveryScheduler decides for one sending process. It does no I/O and
+// reads no clock. The event loop passes events in and carries out the actions that it gets back.
 #pragma once
 
 #include <memory>
@@ -10,13 +10,16 @@
 
 namespace delivery {
 
+// Decides which message is sent when and to which endpoint, which one is rejected, and which call is
+// cancelled.
 class DeliveryScheduler {
  public:
-  // The settings have been validated by their reader. `seed` makes all random choices reproducible.
+  // The settings have to be valid; their reader checks them. `seed` makes all random choices reproducible.
   DeliveryScheduler(Settings settings, std::uint64_t seed);
   ~DeliveryScheduler();
 
-  // Takes the events up to `now` in their order; returns the actions for that moment. `now` never goes back.
+  // Runs one decision round: applies the events in their order and returns the actions to carry out at `now`.
+  // `now` is on the monotonic clock and never goes back from one call to the next.
   std::vector<Action> decide(Micros now, const std::vector<Event>& events);
 
  private:
