--- a/src/decision/outlier_detection.h
+++ b/src/decision/outlier_detection.h
@@ -16,8 +16,7 @@
 // The weight of the newest outcome in the shares of HealthStats.
 constexpr double kOutcomeGain = 0.25;
 
-// An endpoint is slow if its recent latency is more than this multiple of its baseline, beyond the common
-// slowdown.
+// An endpoint is slow if its recent latency is more than this ratio x the common slowdown x its baseline.
 constexpr double kSlowRatio = 4;
 
 // The weight of the newest latency in the recent latency, and its smallest weight in the baseline.
@@ -36,7 +35,7 @@
 // The time-out of a call, in baseline latencies.
 constexpr double kTimeoutRatio = 8;
 
-// A call is overdue after this many baseline latencies without an answer.
+// A call is overdue if there is no answer after this ratio x the common slowdown x the baseline latency.
 constexpr double kOverdueRatio = 4;
 
 // The share of the call slots for the calls to all outliers together. It is one slot at least.
--- a/src/decision/rate_limiter.h
+++ b/src/decision/rate_limiter.h
@@ -17,7 +17,8 @@
 // The initial quota, in the shares that claimedShare() returns.
 constexpr double kInitialQuotaShares = 2;
 
-// A throttled call multiplies the quota by this factor, down to this many shares.
+// A throttled call multiplies the quota, or an estimated limit, by this factor. The quota does not fall below
+// this many shares.
 constexpr double kDecreaseFactor = 0.75;
 constexpr double kMinQuotaShares = 0.5;
 
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -15,6 +15,9 @@
 // The backoff is halved for each remaining attempt, up to this number of attempts.
 constexpr int kMaxBackoffHalvings = 60;
 
+// A repeat is assumed to arrive within this many ticks and the connect time-out.
+constexpr Micros kMaxTicksToArrive = 2;
+
 // Decides on repeats, rejections and time-outs of messages.
 struct RetryPolicy {
   const DecisionContext& context;
@@ -54,7 +57,8 @@
       return false;
     }
     // The repeat has to arrive within the window, and may have to wait for its connection to come up.
-    const Micros max_time_to_arrive = 2 * context.settings.tick + context.settings.connect_timeout;
+    const Micros max_time_to_arrive =
+        kMaxTicksToArrive * context.settings.tick + context.settings.connect_timeout;
     return context.now <= earlier.sent_at + message_class.deduplication_window - max_time_to_arrive;
   }
 
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -96,7 +96,7 @@
   bool limit_is_estimated = false;
   // The share of the limit that this sender uses.
   double quota_fraction = 1;
-  // When `quota_fraction` last changed. 0: never.
+  // When `quota_fraction` was last updated. 0: never.
   Micros quota_updated_at = 0;
   // When a throttled call last decreased the quota or the estimated limit.
   Micros last_decrease_at = kLongAgo;
@@ -180,8 +180,8 @@
   double global = 0;
 };
 
-// Both tags before the first message of a destination, and a bound that lies between it and all assigned
-// tags.
+// Both tags before the first message of a destination, and a bound that lies between that value and all
+// assigned tags.
 constexpr double kUnassignedTag = -1e18;
 constexpr double kSmallestAssignedTag = -1e17;
 
@@ -224,7 +224,7 @@
 
 // One attempt to deliver a message.
 struct Attempt {
-  // Null if an earlier process made the attempt and its endpoint is not known.
+  // Null if an earlier process made the attempt and its endpoint is not in the directory.
   Endpoint* endpoint = nullptr;
   Micros sent_at = 0;
   // The call that carries the attempt. Attempts of several messages may share a call.
@@ -236,7 +236,7 @@
   bool may_have_run = true;
   // How long the connection had been idle before the call. kNoIdleTime: it was a new connection.
   Micros connection_idle_time = kNoIdleTime;
-  // There was no answer for kOverdueRatio baseline latencies.
+  // There has been no answer for unusually long; see kOverdueRatio.
   bool overdue = false;
   bool cancel_requested = false;
 };
