--- a/src/network/client_admission.cpp
+++ b/src/network/client_admission.cpp
@@ -9,20 +9,23 @@
 
 namespace {
 
-// The platform wants a peer that sends no proper request answered or closed within 3 s of connecting, and
-// lets a connection without an open request be closed after 2 s.
-constexpr Micros kRequestTimeout = 2000 * kMicrosPerMillisecond;        // until the first bytes of a request
-constexpr Micros kRestOfRequestTimeout = 1000 * kMicrosPerMillisecond;  // from its first bytes to its last
-constexpr Micros kTakeReplyTimeout = 1000 * kMicrosPerMillisecond;
-// A machine that vanished leaves its connections open and silent; live clients reconnect at no cost.
+// The platform requires that a peer that sends no well-formed request is answered or disconnected within 3 s
+// of connecting, and allows a connection without an open request to be closed after 2 s.
+constexpr Micros kRequestTimeout = 2000 * kMicrosPerMillisecond;         // until the first bytes of a request
+constexpr Micros kPartialRequestTimeout = 1000 * kMicrosPerMillisecond;  // from its first bytes to its last
+constexpr Micros kReplyWriteTimeout = 1000 * kMicrosPerMillisecond;      // until the peer has taken its reply
+// A client machine that failed leaves its connections open and inactive. A client that is alive can reconnect
+// at no cost.
 constexpr Micros kIdleClientTimeout = 60'000 * kMicrosPerMillisecond;
-constexpr Micros kDrainTimeout =
-    1000 * kMicrosPerMillisecond;  // no connection outlasts the first 4 s of a drain
-constexpr Micros kGraceForUnreadInput =
-    20 * kMicrosPerMillisecond;  // it is read in the next turn of the event loop
-constexpr Micros kFirstRequestInTransit = 100 * kMicrosPerMillisecond;  // after connecting
-
-bool isReadFrom(const ClientConnection& connection) {
+// With this and the other timeouts no connection stays open for longer than the first 4 s of a drain.
+constexpr Micros kDrainTimeout = 1000 * kMicrosPerMillisecond;
+// The next iteration of the event loop reads the input.
+constexpr Micros kUnreadInputGrace = 20 * kMicrosPerMillisecond;
+// For this long after it was accepted, a connection's first request may be in transit.
+constexpr Micros kFirstRequestTransitTime = 100 * kMicrosPerMillisecond;
+
+// Whether input is read in the present state of the connection.
+bool acceptsInput(const ClientConnection& connection) {
   return connection.state == ClientState::awaiting_first_request ||
          connection.state == ClientState::reading_request || connection.state == ClientState::idle;
 }
@@ -33,7 +36,7 @@
   const ConnectionId id = ++last_id_;
   ClientConnection& connection = clients_.connections[id];
   connection.peer_address = peer_address;
-  connection.silent_since = now;
+  connection.last_activity_at = now;
   connection.peer = &clients_.peers[peer_address];
   ++connection.peer->connections;
   deadlines_.set(id, now + (is_draining_ ? kDrainTimeout : kRequestTimeout));
@@ -49,7 +52,7 @@
 std::size_t ClientAdmission::readAllowance(ConnectionId id) {
   ClientConnection& connection = clients_.connections.at(id);
   if (connection.state == ClientState::discarding_input) {
-    return kUnpooledBytes;  // not buffered
+    return kUnpooledBytes;  // the input is not buffered
   }
   const std::size_t buffered = connection.buffered_bytes;
   const std::size_t pool_left =
@@ -83,36 +86,37 @@
 
 void ClientAdmission::onBytesReceived(ConnectionId id, std::size_t bytes, Micros now) {
   ClientConnection& connection = clients_.connections.at(id);
-  connection.silent_since = now;
+  connection.last_activity_at = now;
   connection.has_unread_input = false;
   if (connection.state != ClientState::discarding_input) {
     setBufferedBytes(connection, connection.buffered_bytes + bytes);
   }
 }
 
-// The deadline is not prolonged by bytes that arrive one by one, nor by a request that begins late.
+// Neither bytes that arrive one by one nor a request that begins late extend the deadline.
 void ClientAdmission::onRequestPartial(ConnectionId id, Micros now) {
   ClientConnection& connection = clients_.connections.at(id);
   if (connection.state == ClientState::reading_request) {
     return;
   }
   connection.state = ClientState::reading_request;
-  deadlines_.set(id, std::min(deadlines_.deadlineOf(id), now + kRestOfRequestTimeout));
+  deadlines_.set(id, std::min(deadlines_.deadlineOf(id), now + kPartialRequestTimeout));
 }
 
-// No deadline: a request is not closed unanswered, and its reply comes with the decision module's next turn.
-RequestTurn ClientAdmission::onRequestComplete(ConnectionId id, Micros now) {
+// Sets no deadline: a connection is not closed while its request is unanswered, and the decision module
+// replies in its next decision round.
+RequestAdmission ClientAdmission::onRequestComplete(ConnectionId id, Micros now) {
   ClientConnection& connection = clients_.connections.at(id);
   connection.state = ClientState::awaiting_reply;
-  connection.silent_since = now;
-  connection.had_grace_read = false;
+  connection.last_activity_at = now;
+  connection.is_grace_read_used = false;
   deadlines_.set(id, kNoDeadline);
   if (open_requests_ >= budget_.max_open_requests) {
     queued_requests_.push_back(id);
-    return RequestTurn::queued;
+    return RequestAdmission::queued;
   }
   openRequest(connection);
-  return RequestTurn::now;
+  return RequestAdmission::process_now;
 }
 
 std::optional<ConnectionId> ClientAdmission::nextQueuedRequest() {
@@ -137,7 +141,7 @@
   ClientConnection& connection = clients_.connections.at(id);
   connection.has_submitted = connection.has_submitted || has_submitted;
   connection.has_been_answered = true;
-  deadlines_.set(id, now + kTakeReplyTimeout);
+  deadlines_.set(id, now + kReplyWriteTimeout);
 }
 
 void ClientAdmission::openRequest(ClientConnection& connection) {
@@ -156,9 +160,9 @@
 AfterReply ClientAdmission::onReplyWritten(ConnectionId id, bool has_more_input, Micros now) {
   ClientConnection& connection = clients_.connections.at(id);
   closeRequest(connection);
-  connection.silent_since = now;
+  connection.last_activity_at = now;
   if (connection.state == ClientState::discarding_input) {
-    return AfterReply::keep_open;  // the deadline of its reply holds for the discarded input as well
+    return AfterReply::keep_open;  // the deadline for the reply also limits the time for discarding input
   }
   connection.state = ClientState::idle;
   deadlines_.set(id, now + (connection.has_submitted ? kIdleClientTimeout : kRequestTimeout));
@@ -170,7 +174,7 @@
   closeRequest(connection);
   setBufferedBytes(connection, 0);
   connection.state = ClientState::discarding_input;
-  deadlines_.set(id, now + kTakeReplyTimeout);
+  deadlines_.set(id, now + kReplyWriteTimeout);
 }
 
 void ClientAdmission::onClosed(ConnectionId id) {
@@ -189,17 +193,18 @@
   clients_.connections.erase(entry);
 }
 
-// The socket may hold a complete request, unread while this process was busy, which a close would lose. Once
-// for each request, so that bytes that arrive one by one prolong nothing.
+// The socket may hold a complete request that this process was too busy to read; closing the connection would
+// lose it. The extension is granted once for each request, so that bytes that arrive one by one do not extend
+// the deadline further.
 bool ClientAdmission::mayCloseOverdue(ConnectionId id, bool has_unread_input, Micros now) {
   ClientConnection& connection = clients_.connections.at(id);
-  const bool has_grace_read =
-      isReadFrom(connection) && has_unread_input && !connection.is_stalled && !connection.had_grace_read;
-  if (!has_grace_read) {
+  const bool grants_grace_read = acceptsInput(connection) && has_unread_input && !connection.is_stalled &&
+                                 !connection.is_grace_read_used;
+  if (!grants_grace_read) {
     return true;
   }
-  connection.had_grace_read = true;
-  deadlines_.set(id, now + kGraceForUnreadInput);
+  connection.is_grace_read_used = true;
+  deadlines_.set(id, now + kUnreadInputGrace);
   return false;
 }
 
@@ -216,20 +221,21 @@
 }
 
 void ClientAdmission::onEvicted(ConnectionId id, Micros now) {
-  pressure_.onEvicted(clients_.connections.at(id).peer_address, now);
+  eviction_report_.onEvicted(clients_.connections.at(id).peer_address, now);
 }
 
-std::optional<PressureEvent> ClientAdmission::pollPressure(Micros now) {
-  return pressure_.poll({size(), budget_.max_clients, clients_.peers.size()}, now);
+std::optional<EvictionEvent> ClientAdmission::pollEvictionEvent(Micros now) {
+  return eviction_report_.poll({size(), budget_.max_clients, clients_.peers.size()}, now);
 }
 
-// A connection that was just accepted has its first request in transit: it is closed once that is answered.
+// The first request of a connection that was just accepted may be in transit, so such a connection stays open
+// until the request is answered or kDrainTimeout has passed.
 std::vector<ConnectionId> ClientAdmission::startDraining(Micros now) {
   is_draining_ = true;
   std::vector<ConnectionId> to_close;
   for (const auto& [id, connection] : clients_.connections) {
     const bool is_new = connection.state == ClientState::awaiting_first_request;
-    if (is_new && now - connection.silent_since < kFirstRequestInTransit) {
+    if (is_new && now - connection.last_activity_at < kFirstRequestTransitTime) {
       deadlines_.set(id, std::min(deadlines_.deadlineOf(id), now + kDrainTimeout));
     } else if (is_new || connection.state == ClientState::idle) {
       to_close.push_back(id);
--- a/src/network/client_admission.h
+++ b/src/network/client_admission.h
@@ -1,5 +1,6 @@
-// Admission of client connections: which are accepted, read from, given a turn, and closed. Plain rules, fed
-// with events and the time on the monotonic clock; the sockets are in ClientServer.
+// Admission control for client connections: decides which connections are accepted, read from and closed, and
+// when each request is processed. It does no input or output: ClientServer owns the sockets and passes in
+// events and points in time on the monotonic clock.
 #pragma once
 
 #include <cstddef>
@@ -11,15 +12,17 @@
 
 #include "network/client_connection.h"
 #include "network/descriptor_budget.h"
-#include "network/pressure_report.h"
+#include "network/eviction_report.h"
 
 namespace delivery {
 
-enum class RequestTurn {
-  now,    // the request is to be processed
-  queued  // it waits until nextQueuedRequest() names its connection
+// What happens to a complete request.
+enum class RequestAdmission {
+  process_now,
+  queued  // it waits in a queue until nextQueuedRequest() returns its connection
 };
 
+// What happens to a connection after its reply is written.
 enum class AfterReply { keep_open, close };
 
 class ClientAdmission {
@@ -28,50 +31,60 @@
   void setBudget(const DescriptorBudget& budget) { budget_ = budget; }
   const DescriptorBudget& budget() const { return budget_; }
 
+  // Whether one more connection may be accepted.
   bool hasCapacity() const { return connectionCount() < budget_.max_clients; }
+  // Whether there are more connections than the budget allows, after it was reduced.
   bool isOverCapacity() const { return connectionCount() > budget_.max_clients; }
 
-  // Events of a connection, in the order in which they happen.
+  // Events of a connection, in the order in which they happen. `peer_address` is the client's IP address.
   ConnectionId onAccepted(const std::string& peer_address, Micros now);
-  // How many bytes may be read from it. 0: none before nextResumedReader() names it.
+  // How many bytes may be read from the connection now. 0: none until nextResumedReader() returns it.
   std::size_t readAllowance(ConnectionId id);
   void onBytesReceived(ConnectionId id, std::size_t bytes, Micros now);
-  void onRequestPartial(ConnectionId id, Micros now);  // what is buffered is a part of a request
-  RequestTurn onRequestComplete(ConnectionId id, Micros now);
+  // The buffered bytes are the beginning of a request.
+  void onRequestPartial(ConnectionId id, Micros now);
+  RequestAdmission onRequestComplete(ConnectionId id, Micros now);
   void onRequestConsumed(ConnectionId id, std::size_t bytes_left_in_buffer);
-  // `has_submitted`: the request was a message in proper form.
+  // `has_submitted`: the request was a well-formed message, and the reply is no error of the client's.
   void onReplyStarted(ConnectionId id, bool has_submitted, Micros now);
   AfterReply onReplyWritten(ConnectionId id, bool has_more_input, Micros now);
-  void onRequestMalformed(ConnectionId id, Micros now);  // it is closed once it has taken its error reply
+  // Stops buffering input. The connection stays open until its error reply is sent or its deadline has
+  // passed.
+  void onRequestMalformed(ConnectionId id, Micros now);
   void onClosed(ConnectionId id);
 
-  // The connection that may continue now. None: nothing waits, or the budget is used up.
+  // The connection that may continue now, first in first out, or nullopt if none waits or the budget is used
+  // up.
   std::optional<ConnectionId> nextQueuedRequest();
   std::optional<ConnectionId> nextResumedReader();
   bool hasStalledReaders() const { return !stalled_readers_.empty(); }
 
-  // While the table or the buffer pool is full: the connection to close, if one may be closed now.
+  // The connection to close while the table or the buffer pool is full, or nullopt if none may be closed now.
   std::optional<ConnectionId> evictionCandidate(Micros now) const;
   std::optional<ConnectionId> bufferEvictionCandidate(Micros now) const;
-  void onUnreadInput(ConnectionId id);  // seen in its socket: it is no candidate until that is read
+  // The socket of the connection holds unread input: it is no eviction candidate until that is read.
+  void onUnreadInput(ConnectionId id);
   void onEvicted(ConnectionId id, Micros now);
-  std::optional<PressureEvent> pollPressure(Micros now);
-  bool isUnderPressure() const { return pressure_.isActive(); }
+  // The start or end of an eviction period that is to be logged, if any; each is returned once.
+  std::optional<EvictionEvent> pollEvictionEvent(Micros now);
+  bool isEvictionPeriodActive() const { return eviction_report_.isActive(); }
 
-  // Returns the connections to close now, unless they have unread input.
+  // Returns the connections to close now. The caller keeps those that have unread input.
   std::vector<ConnectionId> startDraining(Micros now);
   void stopDraining() { is_draining_ = false; }
   bool isDraining() const { return is_draining_; }
 
   std::vector<ConnectionId> overdue(Micros now) const { return deadlines_.overdue(now); }
-  // False: its unread input is read first.
+  // Whether a connection that is past its deadline may be closed. If not, its unread input is to be read
+  // first.
   bool mayCloseOverdue(ConnectionId id, bool has_unread_input, Micros now);
-  Micros nextDeadline() const { return deadlines_.next(); }
+  Micros nextDeadline() const { return deadlines_.next(); }  // kNoDeadline: there is none
 
   ClientState state(ConnectionId id) const { return clients_.connections.at(id).state; }
   Micros deadline(ConnectionId id) const { return deadlines_.deadlineOf(id); }
   std::size_t size() const { return clients_.connections.size(); }
   std::int64_t openRequests() const { return open_requests_; }
+  // Buffered bytes that count against DescriptorBudget::max_pooled_bytes.
   std::size_t pooledByteCount() const { return pooled_bytes_; }
 
  private:
@@ -84,9 +97,9 @@
   ConnectionId last_id_ = 0;
   ClientTable clients_;
   DeadlineTable deadlines_;
-  PressureReport pressure_;
-  std::deque<ConnectionId> queued_requests_;  // may name connections that are closed by now
-  std::deque<ConnectionId> stalled_readers_;  // the same
+  EvictionReport eviction_report_;
+  std::deque<ConnectionId> queued_requests_;  // may contain connections that have been closed
+  std::deque<ConnectionId> stalled_readers_;  // may contain connections that have been closed
   std::int64_t open_requests_ = 0;
   std::size_t pooled_bytes_ = 0;
   bool is_draining_ = false;
--- a/src/network/client_connection.h
+++ b/src/network/client_connection.h
@@ -1,14 +1,17 @@
 // The state of each client connection, and the totals of each peer address.
 //
-// Deadlines and eviction by state (values in client_admission.cpp and client_eviction.cpp):
+// Deadline and eviction by state (the values are in client_admission.cpp and client_eviction.cpp):
 //
-//     state                   deadline                              evictable after silence of
-//     awaiting_first_request  2 s; 1 s while draining               20 ms
-//     reading_request         1 s, or an earlier one of before      500 ms; never once it has submitted
-//     awaiting_reply          none; 1 s to take the reply           never
-//     idle                    60 s once it has submitted, else 2 s  2 s once it has submitted, 4 s if another
-//                                                                   peer holds more; else 20 ms
-//     discarding_input        1 s                                   500 ms
+//     state                   deadline                            evictable after inactivity of
+//     awaiting_first_request  2 s; 1 s while draining             20 ms
+//     reading_request         1 s, or the previous deadline if    500 ms; never if it has submitted
+//                             that is earlier
+//     awaiting_reply          none; 1 s to write the reply        never
+//     idle                    60 s if it has submitted, else 2 s  2 s if it has submitted (4 s while another
+//                                                                 peer has more connections), else 20 ms
+//     discarding_input        1 s                                 500 ms
+//
+// A connection "has submitted" once it has sent a well-formed message.
 #pragma once
 
 #include <cstddef>
@@ -21,30 +24,30 @@
 
 enum class ClientState {
   awaiting_first_request,
-  reading_request,  // a part of a request is buffered
-  awaiting_reply,   // a complete request, until its reply is written
+  reading_request,  // the beginning of a request is buffered
+  awaiting_reply,   // from a complete request until its reply is written
   idle,             // between two requests
-  discarding_input  // it was sent an error; what still arrives is discarded
+  discarding_input  // after a malformed request: input that still arrives is discarded
 };
 
-// All connections from one address.
+// The totals of all connections from one address.
 struct PeerUsage {
   std::size_t connections = 0;
-  std::size_t buffered_bytes = 0;  // received and not processed yet
+  std::size_t buffered_bytes = 0;  // received and not yet processed
 };
 
 struct ClientConnection {
   ClientState state = ClientState::awaiting_first_request;
   std::string peer_address;
-  PeerUsage* peer = nullptr;  // in ClientTable::peers
-  Micros silent_since = 0;    // when bytes last arrived, or its last request ended
+  PeerUsage* peer = nullptr;    // points into ClientTable::peers
+  Micros last_activity_at = 0;  // when bytes last arrived or a reply was last written
   std::size_t buffered_bytes = 0;
-  bool has_submitted = false;      // a message in proper form
-  bool has_been_answered = false;  // any request
-  bool has_open_request = false;   // false while awaiting_reply: the request is queued for its turn
-  bool is_stalled = false;         // not read from, as the buffer pool is used up
-  bool has_unread_input = false;   // in its socket
-  bool had_grace_read = false;     // its deadline has passed, and it was granted one read of unread input
+  bool has_submitted = false;       // it has sent a well-formed message
+  bool has_been_answered = false;   // it got a reply to any request
+  bool has_open_request = false;    // a request is being processed; false in awaiting_reply: it is queued
+  bool is_stalled = false;          // it is not read from because the buffer pool is used up
+  bool has_unread_input = false;    // its socket holds unread input
+  bool is_grace_read_used = false;  // its deadline was extended once to read unread input
 };
 
 struct ClientTable {
@@ -52,10 +55,11 @@
   std::map<std::string, PeerUsage> peers;  // by address
 };
 
-// Bytes that each connection may buffer at any time, outside the shared pool, so that peers that fill the
-// pool with long requests don't hold up others.
+// Bytes that each connection may buffer in addition to the shared pool, so that peers that fill the pool with
+// long requests don't block short requests of others.
 constexpr std::size_t kUnpooledBytes = 4096;
 
+// The part of a connection's buffered bytes that counts against the shared pool.
 inline std::size_t pooledBytes(std::size_t buffered_bytes) {
   return buffered_bytes > kUnpooledBytes ? buffered_bytes - kUnpooledBytes : 0;
 }
--- a/src/network/client_eviction.cpp
+++ b/src/network/client_eviction.cpp
@@ -8,83 +8,87 @@
 
 namespace {
 
-// How long a connection of each kind must have been silent.
-constexpr Micros kUnproductiveSilence = 20 * kMicrosPerMillisecond;
-constexpr Micros kPartialRequestSilence = 500 * kMicrosPerMillisecond;
-constexpr Micros kDiscardingSilence = 500 * kMicrosPerMillisecond;
-constexpr Micros kIdleClientSilence = 2000 * kMicrosPerMillisecond;
-// While another peer holds more connections: that peer's will soon have been idle for long enough.
-constexpr Micros kIdleClientWithFewerSilence = 2 * kIdleClientSilence;
+// How long a connection of each kind must have been inactive before it may be evicted. An unproductive
+// connection is one that has submitted no message.
+constexpr Micros kUnproductiveInactivity = 20 * kMicrosPerMillisecond;
+constexpr Micros kPartialRequestInactivity = 500 * kMicrosPerMillisecond;
+constexpr Micros kDiscardingInactivity = 500 * kMicrosPerMillisecond;
+constexpr Micros kIdleClientInactivity = 2000 * kMicrosPerMillisecond;
+// Used while another peer has more connections: one of those will soon have been idle for long enough.
+constexpr Micros kIdleClientOfSmallerPeerInactivity = 2 * kIdleClientInactivity;
 
 using ClientEntry = std::pair<const ConnectionId, ClientConnection>;
 
-// Lower ranks are evicted first.
+// The order of eviction when the table is full: the connection with the lowest rank is evicted first.
 struct EvictionRank {
   bool is_protected = false;
-  std::int64_t peer_connections = 0;  // more are evicted first
+  std::int64_t peer_connections = 0;  // a higher number means a lower rank
   bool has_submitted = false;
   bool is_reading = false;
   bool has_been_answered = false;
-  Micros silent_since = 0;
+  Micros last_activity_at = 0;
   ConnectionId id = 0;
 
   friend bool operator<(const EvictionRank& a, const EvictionRank& b) {
     return std::tie(a.is_protected, b.peer_connections, a.has_submitted, a.is_reading, a.has_been_answered,
-                    a.silent_since, a.id) < std::tie(b.is_protected, a.peer_connections, b.has_submitted,
-                                                     b.is_reading, b.has_been_answered, b.silent_since, b.id);
+                    a.last_activity_at, a.id) < std::tie(b.is_protected, a.peer_connections, b.has_submitted,
+                                                         b.is_reading, b.has_been_answered,
+                                                         b.last_activity_at, b.id);
   }
 };
 
-// Higher ranks are evicted first.
+// The order of eviction when the buffer pool is used up: the connection with the highest rank is evicted
+// first.
 struct BufferEvictionRank {
   std::size_t peer_bytes = 0;
   std::size_t connection_bytes = 0;
-  Micros silence = 0;
+  Micros inactivity = 0;
   ConnectionId id = 0;
 
   friend bool operator<(const BufferEvictionRank& a, const BufferEvictionRank& b) {
-    return std::tie(a.peer_bytes, a.connection_bytes, a.silence, a.id) <
-           std::tie(b.peer_bytes, b.connection_bytes, b.silence, b.id);
+    return std::tie(a.peer_bytes, a.connection_bytes, a.inactivity, a.id) <
+           std::tie(b.peer_bytes, b.connection_bytes, b.inactivity, b.id);
   }
 };
 
-// None: never. An open request is never evicted. A client in the middle of a request has a deadline for the
-// rest of it. A connection that was answered and submitted nothing is kept no longer than one that sent
-// nothing: else clients would queue behind many that send one request and stay, for longer than they wait
-// for a reply.
-std::optional<Micros> silenceBeforeEviction(const ClientConnection& connection,
-                                            std::size_t most_connections) {
+// How long the connection must have been inactive before it may be evicted; nullopt: it must not be evicted.
+// An open request is never evicted. A connection that has submitted before and is in the middle of a request
+// is not evicted either: it has a deadline for the rest of the request. A connection that was answered and
+// submitted nothing is kept no longer than one that sent nothing. Otherwise clients would wait behind many
+// peers that send one request and stay connected, and would wait for longer than they wait for a reply.
+std::optional<Micros> inactivityBeforeEviction(const ClientConnection& connection,
+                                               std::size_t max_connections_per_peer) {
   if (connection.has_unread_input) {
-    return std::nullopt;  // it is read in its turn, and not looked at again and again until then
+    return std::nullopt;  // the event loop will read it; until then it is not examined again
   }
   switch (connection.state) {
     case ClientState::awaiting_first_request:
-      return kUnproductiveSilence;
+      return kUnproductiveInactivity;
     case ClientState::reading_request:
-      return connection.has_submitted ? std::nullopt : std::optional<Micros>(kPartialRequestSilence);
+      return connection.has_submitted ? std::nullopt : std::optional<Micros>(kPartialRequestInactivity);
     case ClientState::idle:
       if (!connection.has_submitted) {
-        return kUnproductiveSilence;
+        return kUnproductiveInactivity;
       }
-      return connection.peer->connections < most_connections ? kIdleClientWithFewerSilence
-                                                             : kIdleClientSilence;
+      return connection.peer->connections < max_connections_per_peer ? kIdleClientOfSmallerPeerInactivity
+                                                                     : kIdleClientInactivity;
     case ClientState::discarding_input:
-      return kDiscardingSilence;
+      return kDiscardingInactivity;
     case ClientState::awaiting_reply:
       break;
   }
   return std::nullopt;
 }
 
-// One search over the table at a point in time.
+// Searches the table for the connection to evict at one point in time.
 class EvictionSearch {
  public:
   EvictionSearch(const ClientTable& clients, Micros now)
-      : clients_(clients), now_(now), most_connections_(mostConnectionsOfAPeer(clients)) {}
+      : clients_(clients), now_(now), max_connections_per_peer_(maxConnectionsPerPeer(clients)) {}
 
-  // Of the peer that holds the most. Among its connections those that never submitted go first, and of these
-  // those that sent nothing, then those that were answered, then partial requests; of each kind the one that
-  // has been silent the longest.
+  // Returns a connection of the peer that has the most. Among its connections, those that never submitted
+  // come first: of these those that sent nothing, then those that were answered, then those with a partial
+  // request. Within each kind the one that has been inactive the longest is selected.
   std::optional<ConnectionId> find() const {
     const ClientEntry* candidate = nullptr;
     for (const ClientEntry& entry : clients_.connections) {
@@ -92,28 +96,29 @@
         candidate = &entry;
       }
     }
-    if (candidate == nullptr || shouldWaitForOther(candidate->second)) {
+    if (candidate == nullptr || shouldWaitForUnproductive(candidate->second)) {
       return std::nullopt;
     }
     return candidate->first;
   }
 
  private:
-  static std::size_t mostConnectionsOfAPeer(const ClientTable& clients) {
-    std::size_t most = 0;
+  static std::size_t maxConnectionsPerPeer(const ClientTable& clients) {
+    std::size_t maximum = 0;
     for (const auto& [address, peer] : clients.peers) {
-      most = std::max(most, peer.connections);
+      maximum = std::max(maximum, peer.connections);
     }
-    return most;
+    return maximum;
   }
 
   bool isEvictable(const ClientConnection& connection) const {
-    const std::optional<Micros> silence = silenceBeforeEviction(connection, most_connections_);
-    return silence && now_ - connection.silent_since >= *silence;
+    const std::optional<Micros> inactivity = inactivityBeforeEviction(connection, max_connections_per_peer_);
+    return inactivity && now_ - connection.last_activity_at >= *inactivity;
   }
 
-  // Connections that have submitted are evicted last, unless their peer has over half of the table: many
-  // other addresses would displace clients otherwise, and each close may cross a client's next message.
+  // Connections that have submitted are evicted last, unless their peer has more than half of all
+  // connections. Otherwise connections from many other addresses would displace clients, and each close may
+  // coincide with a client's next message.
   bool isProtected(const ClientConnection& connection) const {
     return connection.has_submitted && 2 * connection.peer->connections <= clients_.connections.size();
   }
@@ -126,28 +131,29 @@
     rank.has_submitted = connection.has_submitted;
     rank.is_reading = connection.state == ClientState::reading_request;
     rank.has_been_answered = connection.has_been_answered;
-    rank.silent_since = connection.silent_since;
+    rank.last_activity_at = connection.last_activity_at;
     rank.id = id;
     return rank;
   }
 
-  // An idle client is kept while a connection that never submitted becomes evictable soon.
-  bool shouldWaitForOther(const ClientConnection& candidate) const {
+  // Whether to evict nothing yet: an idle client is kept while a connection that never submitted will soon be
+  // evictable.
+  bool shouldWaitForUnproductive(const ClientConnection& candidate) const {
     if (!candidate.has_submitted) {
       return false;
     }
-    const bool any_peer = isProtected(candidate);
-    return std::any_of(clients_.connections.begin(), clients_.connections.end(),
-                       [&](const ClientEntry& entry) {
-                         const ClientConnection& other = entry.second;
-                         return (any_peer || other.peer == candidate.peer) && !other.has_submitted &&
-                                silenceBeforeEviction(other, most_connections_).has_value();
-                       });
+    const bool considers_all_peers = isProtected(candidate);
+    return std::any_of(
+        clients_.connections.begin(), clients_.connections.end(), [&](const ClientEntry& entry) {
+          const ClientConnection& other = entry.second;
+          return (considers_all_peers || other.peer == candidate.peer) && !other.has_submitted &&
+                 inactivityBeforeEviction(other, max_connections_per_peer_).has_value();
+        });
   }
 
   const ClientTable& clients_;
   const Micros now_;
-  const std::size_t most_connections_;
+  const std::size_t max_connections_per_peer_;
 };
 
 }  // namespace
@@ -159,12 +165,12 @@
 std::optional<ConnectionId> findBufferEvictionCandidate(const ClientTable& clients, Micros now) {
   std::optional<BufferEvictionRank> highest;
   for (const auto& [id, connection] : clients.connections) {
-    const Micros silence = now - connection.silent_since;
+    const Micros inactivity = now - connection.last_activity_at;
     if (connection.state != ClientState::reading_request || pooledBytes(connection.buffered_bytes) == 0 ||
-        connection.has_unread_input || silence < kPartialRequestSilence) {
+        connection.has_unread_input || inactivity < kPartialRequestInactivity) {
       continue;
     }
-    const BufferEvictionRank rank{connection.peer->buffered_bytes, connection.buffered_bytes, silence, id};
+    const BufferEvictionRank rank{connection.peer->buffered_bytes, connection.buffered_bytes, inactivity, id};
     if (!highest || *highest < rank) {
       highest = rank;
     }
--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -19,20 +19,24 @@
 
 namespace {
 
-constexpr std::size_t kMaxDiscardedBytes = 1u << 20;  // that a peer may send after a malformed request
+// A peer that sends this many bytes after a malformed request is disconnected at once.
+constexpr std::size_t kMaxDiscardedBytes = 1u << 20;
 constexpr std::chrono::milliseconds kCapacityCheckInterval{20};
-constexpr int kMaxEvictionAttempts = 16;  // in a row, for a candidate without unread input
-constexpr Micros kUnknownPast = INT64_MIN / 4;
+// How many candidates in a row are examined until one without unread input is found.
+constexpr int kMaxEvictionAttempts = 16;
+// When the server starts, connections may have waited in the accept queue for any length of time.
+constexpr Micros kDistantPast = INT64_MIN / 4;
 
 }  // namespace
 
-// One connection of a client. One request at a time: the next is parsed once this one is answered.
+// One connection of a client. It processes one request at a time: the next one is parsed once the current one
+// is answered.
 class ClientServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(ClientServer& server, tcp::socket socket, ConnectionId id, Micros connected_at)
       : server_(server), socket_(std::move(socket)), id_(id), input_age_(connected_at) {}
 
-  // Waits before it reads, so that an idle connection holds no buffer.
+  // Waits until the socket is readable and only then reads, so that an idle connection holds no buffer.
   void waitForInput() {
     if (!hasUnreadInput()) {
       input_age_.onEmpty();
@@ -50,6 +54,8 @@
     });
   }
 
+  // Reads once, as far as the admission allows. With an allowance of 0 the connection is stalled until
+  // resumeQueued() calls this again.
   void readInput() {
     const std::size_t allowance =
         std::min(server_.admission_.readAllowance(id_), sizeof server_.read_buffer_);
@@ -68,7 +74,8 @@
     }
   }
 
-  // The queued request may run now: its buffered bytes are parsed again, as no parsed form is kept.
+  // Processes the buffered request once the admission allows it. The bytes are parsed again, because no
+  // parsed form is kept.
   void processQueuedRequest() {
     const RespParseResult parsed = parseRespRequest(input_);
     if (const auto* request = std::get_if<RespRequest>(&parsed)) {
@@ -93,7 +100,7 @@
   }
 
  private:
-  // `count` bytes are in the server's read buffer.
+  // Takes `count` bytes from the server's read buffer.
   void onInput(std::size_t count) {
     const Micros now = monotonicNow();
     server_.admission_.onBytesReceived(id_, count, now);
@@ -102,7 +109,7 @@
       return;
     }
     last_bytes_sent_at_ = input_age_.earliestArrival(now);
-    input_age_.onAllTaken(now);
+    input_age_.onAllRead(now);
     if (input_.empty()) {
       request_sent_at_ = last_bytes_sent_at_;
     }
@@ -127,7 +134,7 @@
       is_discarding_ = true;
       write("-ERR " + error->message);
     } else if (const auto* request = std::get_if<RespRequest>(&parsed)) {
-      if (server_.admission_.onRequestComplete(id_, monotonicNow()) == RequestTurn::now) {
+      if (server_.admission_.onRequestComplete(id_, monotonicNow()) == RequestAdmission::process_now) {
         processRequest(*request);
       }
     } else {
@@ -138,7 +145,7 @@
   }
 
   void processRequest(const RespRequest& resp_request) {
-    // The rest of the buffer arrived with the last bytes.
+    // What is left in the buffer after this request arrived with the latest bytes.
     const Micros sent_at = std::exchange(request_sent_at_, last_bytes_sent_at_);
     consumeInput(resp_request.consumed_bytes);
     ClientRequest request = parseClientRequest(resp_request.arguments);
@@ -151,10 +158,10 @@
     }
   }
 
-  void consumeInput(std::size_t used) {
-    input_.erase(0, used);
+  void consumeInput(std::size_t consumed_bytes) {
+    input_.erase(0, consumed_bytes);
     if (input_.empty()) {
-      input_.shrink_to_fit();  // an idle connection holds no memory of its earlier requests
+      input_.shrink_to_fit();  // an idle connection keeps no buffer of its earlier requests
     }
     server_.admission_.onRequestConsumed(id_, input_.size());
   }
@@ -208,7 +215,8 @@
     server_.resumeQueued();
   }
 
-  // Ends its own side and reads on for a while: a close with unread input would discard the reply.
+  // Shuts down the sending side and goes on reading: closing a socket that has unread input resets the
+  // connection, and the peer would lose the reply. The admission's deadline ends this.
   void shutdownAndDiscard() {
     error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
@@ -222,10 +230,10 @@
   std::string output_;
   std::size_t discarded_bytes_ = 0;
   QueueAge input_age_;             // of the unread input in the socket
-  Micros last_bytes_sent_at_ = 0;  // earliest time at which the latest bytes can have been sent
+  Micros last_bytes_sent_at_ = 0;  // the earliest time at which the latest bytes can have been sent
   Micros request_sent_at_ = 0;     // the same for the first bytes of the buffered request
   bool is_open_ = true;
-  bool is_discarding_ = false;  // after a malformed request
+  bool is_discarding_ = false;  // a malformed request was received; further input is discarded
 };
 
 ClientServer::ClientServer(asio::io_context& io, tcp::acceptor acceptor, ClientAdmission& admission,
@@ -235,7 +243,7 @@
       deadline_timer_(io),
       admission_(admission),
       on_submit_(std::move(on_submit)),
-      accept_queue_(kUnknownPast) {
+      accept_queue_(kDistantPast) {
   acceptor_.non_blocking(true);
   if (acceptPending()) {
     accept();
@@ -269,8 +277,8 @@
   accept();
 }
 
-// No more connections than there is capacity for: the others wait in the kernel's queue, so that descriptors
-// are left for the calls to endpoints.
+// Accepts no more connections than there is capacity for. The others wait in the kernel's accept queue, so
+// that descriptors are left for the calls to endpoints.
 void ClientServer::accept() {
   if (is_accepting_ || is_paused_) {
     return;
@@ -279,7 +287,7 @@
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code error) {
     is_accepting_ = false;
     if (error || is_paused_) {
-      accept();  // it may have been paused and resumed meanwhile
+      accept();  // accepting may have been paused and resumed in the meantime
       return;
     }
     accept_queue_.onReadable(monotonicNow());
@@ -293,8 +301,8 @@
   });
 }
 
-// Accepts what waits in the kernel's queue, as far as there is capacity. False: accepting failed and is
-// tried again with the next check of the capacity.
+// Accepts connections from the kernel's accept queue while there is capacity. Returns false if accepting
+// failed; the next capacity check tries again.
 bool ClientServer::acceptPending() {
   while (admission_.hasCapacity()) {
     tcp::socket socket(acceptor_.get_executor());
@@ -309,9 +317,9 @@
       continue;
     }
     if (error == asio::error::connection_aborted) {
-      continue;  // closed by its peer
+      continue;  // the peer has closed it
     }
-    // The machine may have fewer descriptors than were configured: as if the table were full.
+    // The machine may allow fewer descriptors than are configured. This is handled like a full table.
     const bool out_of_descriptors =
         error == asio::error::no_descriptors || error == boost::system::errc::too_many_files_open_in_system;
     if (out_of_descriptors && evictForConnection()) {
@@ -327,7 +335,7 @@
   error_code error;
   const tcp::endpoint peer = socket.remote_endpoint(error);
   if (error) {
-    return;  // closed by its peer
+    return;  // the peer has closed it
   }
   socket.set_option(tcp::no_delay(true), error);
   socket.non_blocking(true, error);
@@ -340,7 +348,7 @@
   session->waitForInput();
 }
 
-// Polls for a condition without an event: a connection has been silent for long enough to be evicted.
+// Polls, because no event tells when a connection has been inactive for long enough to be evicted.
 void ClientServer::scheduleCapacityCheck() {
   if (capacity_check_scheduled_) {
     return;
@@ -364,10 +372,10 @@
     evicted = evictForConnection();
   }
   resumeQueued();
-  if (const auto event = admission_.pollPressure(monotonicNow())) {
-    logPressureEvent(*event);
+  if (const auto event = admission_.pollEvictionEvent(monotonicNow())) {
+    logEvictionEvent(*event);
   }
-  if (admission_.hasStalledReaders() || admission_.isOverCapacity() || admission_.isUnderPressure()) {
+  if (admission_.hasStalledReaders() || admission_.isOverCapacity() || admission_.isEvictionPeriodActive()) {
     scheduleCapacityCheck();
   }
   accept();
@@ -381,7 +389,7 @@
   return evict([this](Micros now) { return admission_.bufferEvictionCandidate(now); });
 }
 
-// False: no connection could be closed.
+// Closes one connection. Returns false if none may be closed now.
 bool ClientServer::evict(const std::function<std::optional<ConnectionId>(Micros now)>& find_candidate) {
   for (int attempt = 0; attempt < kMaxEvictionAttempts; ++attempt) {
     const Micros now = monotonicNow();
@@ -389,7 +397,7 @@
     if (!candidate) {
       return false;
     }
-    if (noteUnreadInput(*candidate)) {
+    if (markUnreadInput(*candidate)) {
       continue;
     }
     admission_.onEvicted(*candidate, now);
@@ -400,8 +408,9 @@
   return false;
 }
 
-// True: the connection has unread input, and is not to be closed before that is read.
-bool ClientServer::noteUnreadInput(ConnectionId id) {
+// Returns true if the connection has unread input, and records that, so that the connection is not evicted
+// before the input is read.
+bool ClientServer::markUnreadInput(ConnectionId id) {
   if (!sessions_.at(id)->hasUnreadInput()) {
     return false;
   }
@@ -416,7 +425,7 @@
   accept();
 }
 
-// The queued requests and stalled readers whose turn has come.
+// Continues queued requests and stalled readers, in their order, as far as the budget allows.
 void ClientServer::resumeQueued() {
   if (is_resuming_) {
     return;
@@ -434,7 +443,7 @@
 void ClientServer::scheduleDeadlines() {
   const Micros next = admission_.nextDeadline();
   if (next >= scheduled_deadline_) {
-    return;  // the timer fires earlier
+    return;  // the timer fires early enough
   }
   scheduled_deadline_ = next;
   deadline_timer_.expires_after(std::chrono::microseconds(std::max<Micros>(0, next - monotonicNow())));
@@ -472,7 +481,7 @@
 
 void ClientServer::startDraining() {
   for (const ConnectionId id : admission_.startDraining(monotonicNow())) {
-    if (!noteUnreadInput(id)) {
+    if (!markUnreadInput(id)) {
       sessions_.at(id)->close();
     }
   }
--- a/src/network/client_server.h
+++ b/src/network/client_server.h
@@ -1,5 +1,6 @@
-// The RESP2 server to which clients submit messages: PING and MSG.PUT, the requests of a connection answered
-// one after the other. ClientAdmission decides which connections are accepted, read from and closed.
+// The RESP2 server to which clients submit messages with MSG.PUT, and which answers PING. It processes the
+// requests of a connection one at a time, in order. ClientAdmission decides which connections are accepted,
+// read from and closed; this class does the socket operations.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,41 +21,48 @@
 
 class ClientServer {
  public:
-  using ReplyCallback = std::function<void(const SubmitReply&)>;  // called once
-  // A client submits a message. It is answered by calling the reply, now or later.
+  // Sends the reply to the client. It must be called exactly once.
+  using ReplyCallback = std::function<void(const SubmitReply&)>;
+  // Called when a client submits a message. The receiver calls the reply callback now or later.
   using OnSubmit = std::function<void(AcceptedMessage, ReplyCallback)>;
 
+  // Accepts connections from `acceptor` at once. `admission` must outlive this object.
   ClientServer(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor acceptor,
                ClientAdmission& admission, OnSubmit on_submit);
   ~ClientServer();
   ClientServer(const ClientServer&) = delete;
   ClientServer& operator=(const ClientServer&) = delete;
 
-  // PING is answered with an error from here on. Closes connections between requests, and once answered
-  // those that are in a request or are accepted later.
+  // From now on PING is answered with an error. Connections that are between two requests are closed now.
+  // Connections with a partial or open request, and those that are accepted later, are closed once their
+  // request is answered.
   void startDraining();
   void stopDraining() { admission_.stopDraining(); }
-  void pauseAccepting();  // new connections wait in the kernel's queue
+  // New connections wait in the kernel's accept queue until resumeAccepting() is called.
+  void pauseAccepting();
   void resumeAccepting();
-  void stop();         // stops listening and closes all connections
-  void applyBudget();  // that of the admission has changed
+  // Stops listening and closes all connections.
+  void stop();
+  // To be called after the budget of the admission has changed.
+  void applyBudget();
+  // The number of submitted messages whose reply callback has not been called yet.
   std::size_t unansweredRequests() const { return unanswered_requests_; }
   std::size_t connectionCount() const { return sessions_.size(); }
 
  private:
   class Session;
 
-  // Accepting.
+  // Accepting connections.
   void accept();
   bool acceptPending();
   void onAccepted(boost::asio::ip::tcp::socket socket);
   void onSessionClosed(ConnectionId id);
 
-  // Under pressure.
+  // Evicting connections when the table or the buffer pool is full.
   bool evictForConnection();
   bool evictForBuffers();
   bool evict(const std::function<std::optional<ConnectionId>(Micros now)>& find_candidate);
-  bool noteUnreadInput(ConnectionId id);
+  bool markUnreadInput(ConnectionId id);
   void scheduleCapacityCheck();
   void checkCapacity();
 
@@ -69,13 +77,13 @@
   OnSubmit on_submit_;
   std::map<ConnectionId, std::shared_ptr<Session>> sessions_;
   std::size_t unanswered_requests_ = 0;
-  QueueAge accept_queue_;                    // the kernel's queue of connections
-  Micros scheduled_deadline_ = kNoDeadline;  // which the timer waits for
-  bool is_accepting_ = false;                // a wait for connections is pending
-  bool is_paused_ = false;
+  QueueAge accept_queue_;                    // of the kernel's accept queue
+  Micros scheduled_deadline_ = kNoDeadline;  // for which deadline_timer_ is set; kNoDeadline: it is not set
+  bool is_accepting_ = false;                // an asynchronous wait for connections is pending
+  bool is_paused_ = false;                   // no connections are accepted
   bool capacity_check_scheduled_ = false;
-  bool is_resuming_ = false;
-  char read_buffer_[16384];  // what was just read, shared by all connections
+  bool is_resuming_ = false;  // resumeQueued() is running; prevents recursion
+  char read_buffer_[16384];   // the bytes of the latest read, shared by all connections
 };
 
 }  // namespace delivery
--- a/src/network/deadline_table.h
+++ b/src/network/deadline_table.h
@@ -1,4 +1,4 @@
-// The deadlines of a set of connections, as points on the monotonic clock.
+// The deadlines of a set of connections, as points in time on the monotonic clock, ordered by deadline.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +13,19 @@
 
 using ConnectionId = std::uint64_t;  // unique and ascending within one table of connections
 
-constexpr Micros kNoDeadline = INT64_MAX;
+constexpr Micros kNoDeadline = INT64_MAX;  // the null value of a deadline
 
 class DeadlineTable {
  public:
-  void set(ConnectionId connection, Micros deadline);  // replaces the one before; kNoDeadline: none
+  // Replaces the deadline of a connection; kNoDeadline removes it.
+  void set(ConnectionId connection, Micros deadline);
+  // Does nothing if the connection has no deadline.
   void erase(ConnectionId connection);
-  Micros deadlineOf(ConnectionId connection) const;  // or kNoDeadline
-  Micros next() const;                               // or kNoDeadline
+  // kNoDeadline if the connection has none.
+  Micros deadlineOf(ConnectionId connection) const;
+  // The earliest deadline; kNoDeadline if there is none.
+  Micros next() const;
+  // The connections whose deadlines are at or before `now`, earliest deadline first.
   std::vector<ConnectionId> overdue(Micros now) const;
 
  private:
--- a/src/network/pressure_report.cpp
+++ b/src/network/eviction_report.cpp
@@ -1,4 +1,4 @@
-#include "network/pressure_report.h"
+#include "network/eviction_report.h"
 
 #include <algorithm>
 
@@ -8,16 +8,17 @@
 
 namespace {
 
-constexpr Micros kEndsAfter = 1000 * kMicrosPerMillisecond;  // without an eviction
+// A period ends when no connection has been evicted for this long.
+constexpr Micros kEndAfterInactivity = 1000 * kMicrosPerMillisecond;
 
-void logEvent(const PressureStarted& started) {
+void logEvent(const EvictionStarted& started) {
   logWarning("connections", "eviction_started")
       .field("connections", started.connections)
       .field("limit", started.limit)
       .field("peers", started.peers);
 }
 
-void logEvent(const PressureEnded& ended) {
+void logEvent(const EvictionEnded& ended) {
   logInfo("connections", "eviction_ended")
       .field("duration_ms", ended.duration / kMicrosPerMillisecond)
       .field("evicted", ended.evictions)
@@ -27,7 +28,7 @@
 
 }  // namespace
 
-void PressureReport::onEvicted(const std::string& peer_address, Micros now) {
+void EvictionReport::onEvicted(const std::string& peer_address, Micros now) {
   if (!is_active_) {
     is_active_ = true;
     start_reported_ = false;
@@ -40,7 +41,7 @@
   ++evictions_by_peer_[peer_address];
 }
 
-std::optional<PressureEvent> PressureReport::poll(const PressureStarted& occupancy, Micros now) {
+std::optional<EvictionEvent> EvictionReport::poll(const EvictionStarted& occupancy, Micros now) {
   if (!is_active_) {
     return std::nullopt;
   }
@@ -48,17 +49,17 @@
     start_reported_ = true;
     return occupancy;
   }
-  if (now - last_eviction_at_ < kEndsAfter) {
+  if (now - last_eviction_at_ < kEndAfterInactivity) {
     return std::nullopt;
   }
-  return end();
+  return endPeriod();
 }
 
-PressureEnded PressureReport::end() {
+EvictionEnded EvictionReport::endPeriod() {
   is_active_ = false;
   const auto top_peer = std::max_element(evictions_by_peer_.begin(), evictions_by_peer_.end(),
                                          [](const auto& a, const auto& b) { return a.second < b.second; });
-  PressureEnded ended;
+  EvictionEnded ended;
   ended.duration = last_eviction_at_ - started_at_;
   ended.evictions = evictions_;
   ended.top_peer = top_peer->first;
@@ -66,8 +67,8 @@
   return ended;
 }
 
-void logPressureEvent(const PressureEvent& event) {
-  std::visit([](const auto& of_kind) { logEvent(of_kind); }, event);
+void logEvictionEvent(const EvictionEvent& event) {
+  std::visit([](const auto& typed_event) { logEvent(typed_event); }, event);
 }
 
 }  // namespace delivery
--- a/src/network/queue_age.h
+++ b/src/network/queue_age.h
@@ -1,6 +1,7 @@
-// Bounds how long input (a connection, bytes) may have waited in a queue of the kernel before this process
-// took it: a message's time to live counts from when its client sent it, not from when it was read. Plain
-// rules, fed with observations of the queue and the time on the monotonic clock.
+// Estimates how long input (connections or bytes) may have waited in a queue of the kernel before this
+// process read it: a message's time to live counts from when its client sent it, not from when it was read.
+// This class does no input or output: it is given observations of the queue and points in time on the
+// monotonic clock.
 #pragma once
 
 #include <algorithm>
@@ -9,26 +10,29 @@
 
 namespace delivery {
 
-// Clients wait no longer for a reply, so older input is of no use to them.
+// Clients wait for a reply no longer than this, so they have no use for a reply to older input.
 constexpr Micros kClientReplyTimeout = 400'000;
 
 class QueueAge {
  public:
-  // `empty_until`: nothing arrived before.
-  explicit QueueAge(Micros empty_until) : arrived_since_(empty_until) {}
+  // `empty_until`: the queue was empty before this time.
+  explicit QueueAge(Micros empty_until) : earliest_possible_arrival_(empty_until) {}
 
-  void onEmpty() { arrived_since_ = kNothingArrived; }  // and watched: the next arrival is seen at once
-  void onReadable(Micros now) { arrived_since_ = std::min(arrived_since_, now); }
-  void onAllTaken(Micros now) { arrived_since_ = now; }  // what is found there next arrived later
+  // The queue is empty and is being waited on, so the next arrival will be observed at once.
+  void onEmpty() { earliest_possible_arrival_ = kNothingArrived; }
+  // The queue holds input.
+  void onReadable(Micros now) { earliest_possible_arrival_ = std::min(earliest_possible_arrival_, now); }
+  // The input was read, so what is read next arrived after `now`.
+  void onAllRead(Micros now) { earliest_possible_arrival_ = now; }
 
-  // The earliest moment at which what is taken now can have arrived.
+  // The earliest time at which input that is read now can have arrived.
   Micros earliestArrival(Micros now) const {
-    return std::min(now, std::max(arrived_since_, now - kClientReplyTimeout));
+    return std::min(now, std::max(earliest_possible_arrival_, now - kClientReplyTimeout));
   }
 
  private:
   static constexpr Micros kNothingArrived = INT64_MAX;
-  Micros arrived_since_;
+  Micros earliest_possible_arrival_;
 };
 
 }  // namespace delivery
--- a/tests/network/client_admission_test.cpp
+++ b/tests/network/client_admission_test.cpp
@@ -1,4 +1,5 @@
-// Admission of client connections on made-up time: deadlines, turns, drains and buffered bytes.
+// Tests of the admission control for client connections with simulated time: deadlines, queued requests,
+// drains and buffered bytes.
 #include "network/client_admission.h"
 
 #include <gtest/gtest.h>
@@ -14,9 +15,9 @@
 namespace delivery {
 namespace {
 
-constexpr std::size_t kReadBytes = 16384;  // that one read takes at most
+constexpr std::size_t kMaxReadBytes = 16384;  // the maximum that one read returns
 
-TEST(ClientAdmission, DeadlinesAreThoseOfEachState) {
+TEST(ClientAdmission, SetsTheDeadlineOfEachState) {
   ClientAdmission clients(smallBudget(10));
   const ConnectionId id = clients.onAccepted("a", 0);
   EXPECT_EQ(2 * kSecond, clients.deadline(id));
@@ -25,33 +26,35 @@
   EXPECT_EQ(1500 * kMs, clients.deadline(id));
   clients.onBytesReceived(id, 5, 700 * kMs);
   clients.onRequestPartial(id, 700 * kMs);
-  EXPECT_EQ(1500 * kMs, clients.deadline(id)) << "not prolonged by bytes that arrive one by one";
-  EXPECT_EQ(RequestTurn::now, clients.onRequestComplete(id, 800 * kMs));
-  EXPECT_EQ(kNoDeadline, clients.deadline(id)) << "the decision module replies in its turn";
+  EXPECT_EQ(1500 * kMs, clients.deadline(id)) << "bytes that arrive one by one must not extend the deadline";
+  EXPECT_EQ(RequestAdmission::process_now, clients.onRequestComplete(id, 800 * kMs));
+  EXPECT_EQ(kNoDeadline, clients.deadline(id)) << "the decision module replies in its next decision round";
   clients.onRequestConsumed(id, 0);
   clients.onReplyStarted(id, false, 900 * kMs);
-  EXPECT_EQ(1900 * kMs, clients.deadline(id)) << "for the reply to be taken";
+  EXPECT_EQ(1900 * kMs, clients.deadline(id)) << "the client has 1 s to take the reply";
   EXPECT_EQ(AfterReply::keep_open, clients.onReplyWritten(id, false, kSecond));
-  EXPECT_EQ(3 * kSecond, clients.deadline(id)) << "nothing was submitted";
+  EXPECT_EQ(3 * kSecond, clients.deadline(id)) << "the connection has submitted nothing";
   clients.onBytesReceived(id, 5, 2500 * kMs);
   clients.onRequestPartial(id, 2500 * kMs);
-  EXPECT_EQ(3 * kSecond, clients.deadline(id)) << "not prolonged by a request that begins late";
+  EXPECT_EQ(3 * kSecond, clients.deadline(id)) << "a request that begins late must not extend the deadline";
   clients.onRequestMalformed(id, 2600 * kMs);
   EXPECT_EQ(3600 * kMs, clients.deadline(id));
   EXPECT_TRUE(clients.overdue(3600 * kMs - 1).empty());
   EXPECT_EQ(std::vector<ConnectionId>{id}, clients.overdue(3600 * kMs));
-  const ConnectionId idle = submittedAndIdle(clients, "a", 0);
-  EXPECT_EQ(60 * kSecond, clients.deadline(idle)) << "its machine may have vanished";
+  const ConnectionId idle = addIdleSubmitter(clients, "a", 0);
+  EXPECT_EQ(60 * kSecond, clients.deadline(idle)) << "the client machine may have failed";
   clients.onBytesReceived(idle, 5, kSecond);
   clients.onRequestPartial(idle, kSecond);
   EXPECT_EQ(2 * kSecond, clients.deadline(idle));
 }
 
-// The deadline passes while a request is unread in the socket: that is read first, and once.
+// The deadline of a connection passes while the process is busy and a request is unread in the socket.
+// Closing the connection then would lose the request. The input is read once before the connection is closed.
 TEST(ClientAdmission, UnreadInputIsReadOnceBeforeAnOverdueConnectionIsClosed) {
   ClientAdmission clients(smallBudget(10));
-  const ConnectionId idle = submittedAndIdle(clients, "a", 0), partial = clients.onAccepted("a", 0),
-                     silent = clients.onAccepted("a", 0);
+  const ConnectionId idle = addIdleSubmitter(clients, "a", 0);
+  const ConnectionId partial = clients.onAccepted("a", 0);
+  const ConnectionId silent = clients.onAccepted("a", 0);
   clients.onBytesReceived(partial, 5, 0);
   clients.onRequestPartial(partial, 0);
   EXPECT_TRUE(clients.mayCloseOverdue(silent, false, 2 * kSecond));
@@ -60,23 +63,24 @@
     EXPECT_EQ(60 * kSecond + 20 * kMs, clients.deadline(id));
   }
   clients.onBytesReceived(idle, 100, 60 * kSecond);
-  ASSERT_EQ(RequestTurn::now, clients.onRequestComplete(idle, 60 * kSecond));
+  ASSERT_EQ(RequestAdmission::process_now, clients.onRequestComplete(idle, 60 * kSecond));
   clients.onRequestConsumed(idle, 0);
-  EXPECT_TRUE(clients.mayCloseOverdue(idle, true, 61 * kSecond)) << "it does not take its reply";
+  EXPECT_TRUE(clients.mayCloseOverdue(idle, true, 61 * kSecond)) << "the client does not take its reply";
   clients.onBytesReceived(partial, 5, 60 * kSecond);
   clients.onRequestPartial(partial, 60 * kSecond);
   EXPECT_TRUE(clients.mayCloseOverdue(partial, true, 60 * kSecond + 20 * kMs))
-      << "bytes that arrive one by one prolong nothing";
+      << "bytes that arrive one by one must not extend the deadline";
   clients.onReplyStarted(idle, true, 60 * kSecond);
   ASSERT_EQ(AfterReply::keep_open, clients.onReplyWritten(idle, false, 60 * kSecond));
   EXPECT_FALSE(clients.mayCloseOverdue(idle, true, 120 * kSecond))
-      << "the next request has a grace read of its own";
+      << "the grace read is granted again for the next request";
 }
 
 TEST(ClientAdmission, ADrainClosesIdleConnectionsAndShortensTheDeadlinesOfNewOnes) {
   ClientAdmission clients(smallBudget(10));
-  const ConnectionId idle = submittedAndIdle(clients, "a", 0);
-  const ConnectionId silent = clients.onAccepted("a", 0), reading = clients.onAccepted("a", 0);
+  const ConnectionId idle = addIdleSubmitter(clients, "a", 0);
+  const ConnectionId silent = clients.onAccepted("a", 0);
+  const ConnectionId reading = clients.onAccepted("a", 0);
   clients.onBytesReceived(reading, 10, kSecond);
   clients.onRequestPartial(reading, kSecond);
   const ConnectionId just_accepted = clients.onAccepted("a", kSecond);
@@ -86,28 +90,29 @@
   const ConnectionId late = clients.onAccepted("a", 2 * kSecond);
   EXPECT_EQ(3 * kSecond, clients.deadline(late));
   clients.onBytesReceived(late, 10, 2 * kSecond);
-  EXPECT_EQ(RequestTurn::now, clients.onRequestComplete(late, 2 * kSecond));
+  EXPECT_EQ(RequestAdmission::process_now, clients.onRequestComplete(late, 2 * kSecond));
   clients.onRequestConsumed(late, 0);
   clients.onReplyStarted(late, true, 2 * kSecond);
   EXPECT_EQ(AfterReply::close, clients.onReplyWritten(late, false, 2 * kSecond))
-      << "closed once it is answered";
+      << "a connection accepted during a drain is closed once it is answered";
 }
 
-// A connection that pipelines takes turns with the others, one request at a time.
-TEST(ClientAdmission, RequestsTakeTurnsWhileMoreAreCompleteThanMayBeOpen) {
+// A connection that pipelines requests must not starve the others: it is queued again after each request.
+TEST(ClientAdmission, QueuesCompleteRequestsBeyondTheLimitOfOpenOnes) {
   ClientAdmission clients(smallBudget(10, 1));
-  const ConnectionId pipelining = clients.onAccepted("a", 0), single = clients.onAccepted("b", 0);
+  const ConnectionId pipelining = clients.onAccepted("a", 0);
+  const ConnectionId single = clients.onAccepted("b", 0);
   clients.onBytesReceived(pipelining, 1000, 0);
   clients.onBytesReceived(single, 100, 0);
-  ASSERT_EQ(RequestTurn::now, clients.onRequestComplete(pipelining, 0));
+  ASSERT_EQ(RequestAdmission::process_now, clients.onRequestComplete(pipelining, 0));
   clients.onRequestConsumed(pipelining, 900);
-  EXPECT_EQ(RequestTurn::queued, clients.onRequestComplete(single, 0));
+  EXPECT_EQ(RequestAdmission::queued, clients.onRequestComplete(single, 0));
   EXPECT_FALSE(clients.nextQueuedRequest());
   clients.onReplyStarted(pipelining, true, 0);
   ASSERT_EQ(AfterReply::keep_open, clients.onReplyWritten(pipelining, true, 0));
   EXPECT_EQ(single, *clients.nextQueuedRequest());
-  EXPECT_EQ(RequestTurn::queued, clients.onRequestComplete(pipelining, 0))
-      << "the request of the other one is open";
+  EXPECT_EQ(RequestAdmission::queued, clients.onRequestComplete(pipelining, 0))
+      << "the request of the other connection is open";
   clients.onRequestConsumed(single, 0);
   clients.onReplyStarted(single, true, 0);
   ASSERT_EQ(AfterReply::keep_open, clients.onReplyWritten(single, false, 0));
@@ -115,21 +120,23 @@
   EXPECT_FALSE(clients.nextQueuedRequest());
 }
 
-TEST(ClientAdmission, ReadingStopsWhenTheBufferPoolIsUsedUpAndResumesInTurn) {
+TEST(ClientAdmission, ReadingStopsWhenTheBufferPoolIsUsedUpAndResumesInOrder) {
   ClientAdmission clients(smallBudget(10));
-  const ConnectionId a = clients.onAccepted("a", 0), b = clients.onAccepted("b", 0),
-                     later = clients.onAccepted("c", 0);
+  const ConnectionId a = clients.onAccepted("a", 0);
+  const ConnectionId b = clients.onAccepted("b", 0);
+  const ConnectionId later = clients.onAccepted("c", 0);
   for (const ConnectionId id : {a, b}) {
     for (std::size_t allowance = clients.readAllowance(id); allowance > 0;
          allowance = clients.readAllowance(id)) {
-      clients.onBytesReceived(id, std::min(allowance, kReadBytes), 0);
+      clients.onBytesReceived(id, std::min(allowance, kMaxReadBytes), 0);
       clients.onRequestPartial(id, 0);
     }
   }
   EXPECT_EQ(200'000u, clients.pooledByteCount());
   EXPECT_TRUE(clients.hasStalledReaders());
   EXPECT_FALSE(clients.nextResumedReader());
-  EXPECT_EQ(kUnpooledBytes, clients.readAllowance(later)) << "a short request is read all the same";
+  EXPECT_EQ(kUnpooledBytes, clients.readAllowance(later))
+      << "a short request is read even though the pool is used up";
   EXPECT_FALSE(clients.bufferEvictionCandidate(400 * kMs));
   EXPECT_EQ(a, *clients.bufferEvictionCandidate(kSecond)) << "the peer with the most buffered bytes";
   clients.onClosed(a);
@@ -138,16 +145,17 @@
   EXPECT_LE(clients.readAllowance(b), kMaxRespRequestBytes);
 }
 
-// A crowd of random peers: the table, open requests and buffers are under pressure, and budgets change.
-class Crowd {
+// Performs random events of many clients. The connection table, open requests and the buffer pool reach their
+// limits, and the limits change.
+class RandomClients {
  public:
-  explicit Crowd(unsigned seed) : random_(seed), clients_(smallBudget(20, 5)) {}
+  explicit RandomClients(unsigned seed) : random_(seed), clients_(smallBudget(20, 5)) {}
 
   void step() {
     now_ += randomBelow(30) * kMs;
     for (const ConnectionId id : clients_.overdue(now_)) {
       ASSERT_NE(ClientState::awaiting_reply == clients_.state(id) && !replying_.count(id), true)
-          << "an unanswered request was closed";
+          << "a connection with an unanswered request was overdue";
       close(id);
     }
     if (randomBelow(50) == 0) {
@@ -160,20 +168,20 @@
       connectOne();
     }
     for (int count = randomBelow(8); count > 0 && !connections_.empty(); --count) {
-      act(randomConnection());
+      continueConnection(randomConnection());
     }
     while (const auto id = clients_.nextQueuedRequest()) {
       open_requests_.insert(*id);
     }
     while (const auto id = clients_.nextResumedReader()) {
-      send(*id);
+      receive(*id);
     }
     if (clients_.hasStalledReaders()) {
       if (const auto id = clients_.bufferEvictionCandidate(now_)) {
         close(*id);
       }
     }
-    check();
+    checkInvariants();
   }
 
  private:
@@ -193,11 +201,12 @@
       for (const ConnectionId other : connections_) {
         ++connections_of[peers_[other]];
       }
-      for (const ConnectionId other : connections_) {  // unproductive, long silent, of a peer that holds more
+      // No inactive, unproductive connection of a peer with more connections may remain.
+      for (const ConnectionId other : connections_) {
         if (connections_of[peers_[other]] > connections_of[peers_[*id]]) {
           ASSERT_FALSE(clients_.state(other) == ClientState::awaiting_first_request &&
                        now_ - accepted_at_[other] > kSecond)
-              << "not max-min fair";
+              << "the eviction was not max-min fair";
         }
       }
       close(*id);
@@ -212,17 +221,18 @@
     connections_.insert(id);
   }
 
-  void send(ConnectionId id) {
+  // Random bytes arrive at a connection that may be read from.
+  void receive(ConnectionId id) {
     const std::size_t allowance = clients_.readAllowance(id);
     if (allowance == 0) {
       return;
     }
     clients_.onBytesReceived(id,
                              1 + static_cast<std::size_t>(randomBelow(
-                                     static_cast<int>(std::min<std::size_t>(allowance, kReadBytes)))),
+                                     static_cast<int>(std::min<std::size_t>(allowance, kMaxReadBytes)))),
                              now_);
     if (randomBelow(3) == 0) {
-      if (clients_.onRequestComplete(id, now_) == RequestTurn::now) {
+      if (clients_.onRequestComplete(id, now_) == RequestAdmission::process_now) {
         open_requests_.insert(id);
       }
     } else {
@@ -230,7 +240,8 @@
     }
   }
 
-  void act(ConnectionId id) {
+  // Performs a random event that is possible in the state of the connection.
+  void continueConnection(ConnectionId id) {
     switch (clients_.state(id)) {
       case ClientState::awaiting_first_request:
       case ClientState::idle:
@@ -239,7 +250,7 @@
           return clients_.onRequestMalformed(id, now_);
         }
         if (randomBelow(3) > 0) {
-          send(id);
+          receive(id);
         }
         break;
       case ClientState::awaiting_reply:
@@ -271,22 +282,22 @@
     clients_.onClosed(id);
   }
 
-  void check() {
+  void checkInvariants() {
     const DescriptorBudget& budget = clients_.budget();
     ASSERT_EQ(connections_.size(), clients_.size());
     ASSERT_EQ(static_cast<std::int64_t>(open_requests_.size()), clients_.openRequests());
-    const bool is_over = static_cast<std::int64_t>(clients_.size()) > budget.max_clients ||
-                         clients_.openRequests() > budget.max_open_requests ||
-                         clients_.pooledByteCount() > budget.max_pooled_bytes;
-    ASSERT_TRUE(!is_over || is_shrinking_) << "over the budget";
-    if (!is_over) {
+    const bool is_over_budget = static_cast<std::int64_t>(clients_.size()) > budget.max_clients ||
+                                clients_.openRequests() > budget.max_open_requests ||
+                                clients_.pooledByteCount() > budget.max_pooled_bytes;
+    ASSERT_TRUE(!is_over_budget || is_shrinking_) << "the clients exceed the budget";
+    if (!is_over_budget) {
       is_shrinking_ = false;
     }
     for (const ConnectionId id : connections_) {
       if (clients_.state(id) == ClientState::awaiting_reply && !replying_.count(id)) {
         continue;
       }
-      ASSERT_GT(clients_.deadline(id), now_) << "past its deadline, and still open";
+      ASSERT_GT(clients_.deadline(id), now_) << "a connection is open after its deadline";
       ASSERT_LE(clients_.deadline(id), now_ + 60 * kSecond);
     }
     while (clients_.isOverCapacity()) {
@@ -301,18 +312,20 @@
   std::mt19937 random_;
   ClientAdmission clients_;
   Micros now_ = 0;
-  std::set<ConnectionId> connections_, open_requests_, replying_;
+  std::set<ConnectionId> connections_;
+  std::set<ConnectionId> open_requests_;
+  std::set<ConnectionId> replying_;
   std::map<ConnectionId, std::string> peers_;
   std::map<ConnectionId, Micros> accepted_at_;
-  bool is_shrinking_ = false;
+  bool is_shrinking_ = false;  // the budget was changed, and the clients may exceed it
 };
 
 TEST(ClientAdmissionProperty, InvariantsHoldOverRandomEvents) {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE(seed);
-    Crowd crowd(seed);
+    RandomClients random_clients(seed);
     for (int step = 0; step < 3000; ++step) {
-      crowd.step();
+      random_clients.step();
       if (::testing::Test::HasFatalFailure()) {
         return;
       }
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -1,5 +1,5 @@
-// The client server on loopback sockets, with an event loop that the test runs: requests that are unread
-// while something else happens to their connection.
+// Tests of the client server on loopback sockets, with an event loop that the test runs: a request is unread
+// in the socket when its connection would be closed.
 #include "network/client_server.h"
 
 #include <boost/asio/io_context.hpp>
@@ -18,7 +18,7 @@
 
 constexpr Micros kMs = 1000;
 
-// A client server with an admission of its own.
+// A client server with an admission of its own. It accepts every message.
 struct TestServer {
   explicit TestServer(std::int64_t max_connections) : admission(budgetFor(max_connections)) {
     auto acceptor = listenAt(io, {boost::asio::ip::address_v4::loopback(), 0});
@@ -52,24 +52,26 @@
 const std::string kSubmitRequest =
     loopback::SenderClient::request({"MSG.PUT", "0", "m", "c=order,d=8000,dest=7", "x"});
 
-// The table is full, so a connection waits in the kernel's queue, with what its client sends.
+// The table is full, so a connection and its request wait in the kernel's accept queue. The message's time to
+// live must count from when the client sent it, not from when it is read.
 TEST(ClientServer, ATimeToLiveCountsFromWhenTheMessageWasSentNotRead) {
   TestServer test(1);
   auto first = std::make_unique<loopback::SenderClient>(test.port);
   test.runUntil([&] { return test.server->connectionCount() == 1; });
   loopback::SenderClient second(test.port);
-  test.io.run_one();  // it is seen, and there is no capacity for it
+  test.io.run_one();  // the server sees the connection and has no capacity for it
   ASSERT_EQ(1u, test.server->connectionCount());
   second.send(kSubmitRequest);
-  const Micros sent = monotonicNow();
+  const Micros sent_at = monotonicNow();
   first.reset();
   test.runUntil([&] { return test.submitted.has_value(); });
-  EXPECT_LE(test.submitted->deadline.at(), sent + 8000 * kMs);
-  EXPECT_GE(test.submitted->deadline.at(), sent + 8000 * kMs - kClientReplyTimeout);
+  EXPECT_LE(test.submitted->deadline.at(), sent_at + 8000 * kMs);
+  EXPECT_GE(test.submitted->deadline.at(), sent_at + 8000 * kMs - kClientReplyTimeout);
 }
 
-// A connection's deadline comes while this process is busy, with a complete request in the socket: a test's
-// timer, due just before, sends it, and both fire in one turn of the loop.
+// A connection's deadline passes while the process is busy and a complete request is in the socket. The
+// request must be answered before the connection is closed. A timer of the test, due just before the
+// deadline, sends the request, so that both timers fire in one iteration of the event loop.
 TEST(ClientServer, ARequestInTheSocketAtTheDeadlineIsAnswered) {
   TestServer test(2);
   loopback::SenderClient client(test.port);
@@ -80,14 +82,15 @@
   just_before.expires_at(std::chrono::steady_clock::time_point(std::chrono::microseconds(deadline - 1)));
   just_before.async_wait([&](const boost::system::error_code&) { client.send(kSubmitRequest); });
   while (monotonicNow() < deadline + 5 * kMs) {
-  }  // busy: the event loop does not run
+  }  // The process is busy: the event loop does not run.
   test.runUntil([&] { return test.submitted || test.server->connectionCount() == 0; });
-  EXPECT_TRUE(test.submitted) << "closed with its request unread";
+  EXPECT_TRUE(test.submitted) << "the connection was closed with its request unread";
   test.runUntil([&] { return test.admission.nextDeadline() > deadline + 30'000 * kMs; });
   EXPECT_EQ("+OK", client.line());
 }
 
-// A drain starts while a complete request is in the socket: it is answered, then the connection is closed.
+// A drain starts while a complete request is in the socket. The request must be answered before the
+// connection is closed.
 TEST(ClientServer, ARequestInTheSocketAtTheStartOfADrainIsAnswered) {
   TestServer test(2);
   loopback::SenderClient client(test.port);
@@ -101,50 +104,52 @@
   EXPECT_TRUE(client.ended());
 }
 
-// The table is full, and the eviction candidate has just sent a complete request: it is not closed for the
-// next connection.
+// The table is full, and the eviction candidate has just sent a complete request. It must not be closed to
+// make room for the next connection.
 TEST(ClientServer, ARequestInTheSocketOfAnEvictionCandidateIsAnswered) {
   TestServer test(1);
   loopback::SenderClient first(test.port);
   test.runUntil([&] { return test.server->connectionCount() == 1; });
   test.io.poll();
-  const Micros silent_from = monotonicNow();
-  loopback::SenderClient next(
-      test.port);  // seen when the event loop runs next, before what the first sends now
-  while (monotonicNow() < silent_from + 50 * kMs) {
-  }  // busy: the event loop does not run
+  const Micros inactive_since = monotonicNow();
+  // The event loop will see this connection before the request that the first client sends below.
+  loopback::SenderClient next(test.port);
+  while (monotonicNow() < inactive_since + 50 * kMs) {
+  }  // The process is busy: the event loop does not run.
   first.send(kSubmitRequest);
-  test.runUntil([&] { return test.submitted || test.admission.isUnderPressure(); });
-  EXPECT_TRUE(test.submitted) << "closed with its request unread";
+  test.runUntil([&] { return test.submitted || test.admission.isEvictionPeriodActive(); });
+  EXPECT_TRUE(test.submitted) << "the connection was closed with its request unread";
   EXPECT_EQ(1u, test.server->connectionCount());
 }
 
-// New limits allow fewer connections than there are, and a request is in the socket of an idle one.
+// New limits allow fewer connections than there are, and a request is in the socket of an idle connection.
+// The request must be answered, and another connection is closed.
 TEST(ClientServer, ARequestInTheSocketWhenLimitsAreHalvedIsAnswered) {
   TestServer test(2);
-  loopback::SenderClient idle(test.port), other(test.port);
+  loopback::SenderClient idle(test.port);
+  loopback::SenderClient other(test.port);
   test.runUntil([&] { return test.server->connectionCount() == 2; });
   test.io.poll();
-  const Micros silent_from = monotonicNow();
-  while (monotonicNow() < silent_from + 50 * kMs) {
-  }  // busy: the event loop does not run
+  const Micros inactive_since = monotonicNow();
+  while (monotonicNow() < inactive_since + 50 * kMs) {
+  }  // The process is busy: the event loop does not run.
   idle.send(kSubmitRequest);
   test.admission.setBudget(TestServer::budgetFor(1));
   test.server->applyBudget();
   test.runUntil([&] { return test.server->connectionCount() == 1; });
   test.runUntil([&] { return test.submitted || test.server->connectionCount() == 0; });
-  EXPECT_TRUE(test.submitted) << "closed with its request unread";
+  EXPECT_TRUE(test.submitted) << "the connection was closed with its request unread";
   EXPECT_TRUE(other.ended());
 }
 
-// Two requests in one write, and a drain before the answer to the first: both are answered, then it is
-// closed.
+// A client sends two requests in one write, and a drain starts before the reply to the first. Both requests
+// must be answered before the connection is closed.
 TEST(ClientServer, TheSecondOfTwoPipelinedRequestsIsAnsweredInADrain) {
   TestServer test(2);
   loopback::SenderClient client(test.port);
   test.runUntil([&] { return test.server->connectionCount() == 1; });
   client.send(kSubmitRequest + kSubmitRequest);
-  test.runUntil([&] { return test.submitted.has_value(); });  // carried out, its answer on the way
+  test.runUntil([&] { return test.submitted.has_value(); });  // its reply is being written
   test.server->startDraining();
   test.runUntil([&] { return test.server->connectionCount() == 0; });
   EXPECT_EQ("+OK", client.line());
--- a/tests/network/deadline_table_test.cpp
+++ b/tests/network/deadline_table_test.cpp
@@ -1,4 +1,4 @@
-// Deadlines of connections: which is next, and which have passed.
+// Tests of the table of deadlines: which deadline is next, and which have passed.
 #include "network/deadline_table.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace delivery {
 namespace {
 
-TEST(DeadlineTable, NamesOverdueConnectionsInTheOrderOfTheirDeadlines) {
+TEST(DeadlineTable, ReturnsOverdueConnectionsInTheOrderOfTheirDeadlines) {
   DeadlineTable deadlines;
   EXPECT_EQ(kNoDeadline, deadlines.next());
   deadlines.set(1, 300);
@@ -18,7 +18,7 @@
   EXPECT_EQ((std::vector<ConnectionId>{2, 3, 4}), deadlines.overdue(200));
 }
 
-TEST(DeadlineTable, HasOneDeadlineForEachConnectionAtMost) {
+TEST(DeadlineTable, HasAtMostOneDeadlineForEachConnection) {
   DeadlineTable deadlines;
   deadlines.set(1, 100);
   deadlines.set(1, 300);
--- a/tests/network/pressure_report_test.cpp
+++ b/tests/network/eviction_report_test.cpp
@@ -1,5 +1,5 @@
-// The log lines of a stretch of pressure, on made-up time.
-#include "network/pressure_report.h"
+// Tests of the log lines about a period with evictions, with simulated time.
+#include "network/eviction_report.h"
 
 #include <gtest/gtest.h>
 
@@ -10,16 +10,16 @@
 namespace delivery {
 namespace {
 
-// The log lines of one call of pollPressure().
+// Returns the log lines that one call of pollEvictionEvent() leads to.
 std::string polledLog(ClientAdmission& clients, Micros now) {
   ::testing::internal::CaptureStderr();
-  if (const auto event = clients.pollPressure(now)) {
-    logPressureEvent(*event);
+  if (const auto event = clients.pollEvictionEvent(now)) {
+    logEvictionEvent(*event);
   }
   return ::testing::internal::GetCapturedStderr();
 }
 
-TEST(PressureReport, IsLoggedWhenItStartsAndWhenItHasEnded) {
+TEST(EvictionReport, IsLoggedWhenItStartsAndWhenItHasEnded) {
   ClientAdmission clients(smallBudget(1));
   EXPECT_EQ("", polledLog(clients, 0));
   const ConnectionId id = clients.onAccepted("10.0.0.9", 0);
@@ -33,7 +33,7 @@
       "level=info component=connections event=eviction_ended duration_ms=600 evicted=2 top_peer=10.0.0.9 "
       "top_peer_evicted=2\n",
       polledLog(clients, 3 * kSecond));
-  EXPECT_FALSE(clients.isUnderPressure());
+  EXPECT_FALSE(clients.isEvictionPeriodActive());
 }
 
 }  // namespace
--- a/tests/support/connection_fixture.h
+++ b/tests/support/connection_fixture.h
@@ -1,4 +1,4 @@
-// Helpers for the tests of the admission of connections, on made-up time.
+// Helpers for the tests of connection admission with simulated time.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,9 +9,11 @@
 
 namespace delivery {
 
+// A millisecond and a second in the unit of Micros.
 constexpr Micros kMs = 1000;
 constexpr Micros kSecond = 1000 * kMs;
 
+// A budget whose limits a test reaches with few connections.
 inline DescriptorBudget smallBudget(std::int64_t max_clients, std::int64_t max_open_requests = 100) {
   DescriptorBudget budget;
   budget.max_clients = max_clients;
@@ -23,11 +25,11 @@
   return budget;
 }
 
-// A connection that has submitted a message and is idle.
-inline ConnectionId submittedAndIdle(ClientAdmission& clients, const std::string& peer, Micros now) {
+// Adds a connection that has submitted a message and is idle, and returns its id.
+inline ConnectionId addIdleSubmitter(ClientAdmission& clients, const std::string& peer, Micros now) {
   const ConnectionId id = clients.onAccepted(peer, now);
   clients.onBytesReceived(id, 100, now);
-  EXPECT_EQ(RequestTurn::now, clients.onRequestComplete(id, now));
+  EXPECT_EQ(RequestAdmission::process_now, clients.onRequestComplete(id, now));
   clients.onRequestConsumed(id, 0);
   clients.onReplyStarted(id, true, now);
   EXPECT_EQ(AfterReply::keep_open, clients.onReplyWritten(id, false, now));
