--- a/src/network/completion_notifier.cpp
+++ b/src/network/completion_notifier.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Micros kResponseTimeout = 500'000;  // the server acknowledges at once
+constexpr Micros kResponseTimeout = 500'000;  // the server acknowledges without delay
 constexpr Micros kBackoff = 50'000;
 constexpr int kBadRequest = 400;
 
@@ -29,7 +29,7 @@
 
 void CompletionNotifier::enqueue(const std::string& message_id, const CompletionNotice& notice) {
   pending_.push_back({message_id, notice});
-  if (in_flight_ == 0 && !backing_off_) {
+  if (in_flight_ == 0 && !is_backing_off_) {
     sendNextBatch();
   }
 }
@@ -37,11 +37,11 @@
 void CompletionNotifier::changeServer(tcp::endpoint server, std::string host) {
   client_.changeServer(std::move(server), std::move(host));
   in_flight_ = 0;
-  backing_off_ = false;
+  is_backing_off_ = false;
   sendNextBatch();
 }
 
-// One line of the request, in discovery's form.
+// One line of the request body, in the format of the discovery server.
 std::string CompletionNotifier::toLine(const PendingNotice& pending) {
   const CompletionNotice& notice = pending.notice;
   json line{{"message", pending.message_id}, {"outcome", notice.returned ? "handed_back" : "given_up"}};
@@ -69,18 +69,18 @@
 
 void CompletionNotifier::onResponse(const HttpResponse& response) {
   const std::size_t sent = std::exchange(in_flight_, 0);
-  const bool unreadable = isAnswered(response) && response.status == kBadRequest;
-  if (unreadable && sent > 1) {
-    batch_limit_ = 1;  // so that one unreadable notice does not hold up the others
+  const bool is_rejected = isAnswered(response) && response.status == kBadRequest;
+  if (is_rejected && sent > 1) {
+    batch_limit_ = 1;  // so that one unreadable notice does not block the others
     sendNextBatch();
     return;
   }
-  if (!unreadable && !isSuccess(response)) {
+  if (!is_rejected && !isSuccess(response)) {
     backOff();
     return;
   }
-  if (unreadable) {
-    logError("discovery", "notice_refused_as_unreadable").field("message_id", pending_.front().message_id);
+  if (is_rejected) {
+    logError("discovery", "notice_rejected").field("message_id", pending_.front().message_id);
   }
   acknowledge(sent);
   if (pending_.empty()) {
@@ -90,9 +90,9 @@
 }
 
 void CompletionNotifier::backOff() {
-  backing_off_ = true;
+  is_backing_off_ = true;
   client_.backOff(kBackoff, [this] {
-    backing_off_ = false;
+    is_backing_off_ = false;
     sendNextBatch();
   });
 }
--- a/src/network/completion_notifier.h
+++ b/src/network/completion_notifier.h
@@ -1,4 +1,4 @@
-// Notifies the platform, through discovery, of messages that ended without delivery after they were accepted.
+// Notifies the platform, through the discovery server, of accepted messages that ended without delivery.
 #pragma once
 
 #include <cstddef>
@@ -11,19 +11,21 @@
 
 namespace delivery {
 
-// Sends each notice until it is acknowledged. The platform may get one more than once, which is harmless. The
-// notices are kept in memory only; the caller has them in the journal.
+// Sends each notice until it is acknowledged. The platform may receive a notice more than once, which is
+// harmless. Pending notices are kept in memory only; the caller records them in the journal.
 class CompletionNotifier {
  public:
+  // Called once for each notice that is acknowledged, or that discovery rejects as unreadable.
   using OnAcknowledged = std::function<void(const std::string& message_id)>;
 
   CompletionNotifier(DiscoveryClient client, OnAcknowledged on_acknowledged);
 
   void enqueue(const std::string& message_id, const CompletionNotice& notice);
-  // What is in flight is sent again there.
+  // Sends the notices that are in flight again, to the new server.
   void changeServer(tcp::endpoint server, std::string host);
+  // Sends nothing from now on.
   void stop() { client_.stop(); }
-  std::size_t pendingCount() const { return pending_.size(); }  // notices that are not acknowledged
+  std::size_t pendingCount() const { return pending_.size(); }  // notices not yet acknowledged
 
  private:
   struct PendingNotice {
@@ -31,7 +33,7 @@
     CompletionNotice notice;
   };
 
-  static constexpr std::size_t kMaxBatch = 64;  // notices in one request
+  static constexpr std::size_t kMaxBatch = 64;  // maximum number of notices in one request
 
   static std::string toLine(const PendingNotice& pending);
   void sendNextBatch();
@@ -41,10 +43,10 @@
 
   DiscoveryClient client_;
   OnAcknowledged on_acknowledged_;
-  std::deque<PendingNotice> pending_;    // the oldest first
-  std::size_t in_flight_ = 0;            // of the pending ones, from the front
-  std::size_t batch_limit_ = kMaxBatch;  // 1 after a batch was refused as unreadable, until all are sent
-  bool backing_off_ = false;
+  std::deque<PendingNotice> pending_;  // oldest first
+  std::size_t in_flight_ = 0;          // how many notices at the front of pending_ are in the current request
+  std::size_t batch_limit_ = kMaxBatch;  // 1 after a batch was rejected as unreadable, until none is pending
+  bool is_backing_off_ = false;          // a retry is scheduled
 };
 
 }  // namespace delivery
--- a/src/network/discovery_client.h
+++ b/src/network/discovery_client.h
@@ -1,4 +1,4 @@
-// The HTTP connection to the platform's discovery server, an agent on this machine.
+// An HTTP client for the platform's discovery server, which is an agent on this machine.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,19 +11,21 @@
 
 namespace delivery {
 
-// Carries one request at a time over one connection, which is replaced when it can't be reused. A
-// request under way when the client is destroyed, stopped or changes the server is cancelled, and its
+// Sends one request at a time over one connection, which is replaced when it can't be reused. If the client
+// is destroyed, stopped or changes the server while a request is in flight, the request is cancelled and its
 // callback is never called.
 class DiscoveryClient {
  public:
+  // `host`: the value of the Host header field.
   DiscoveryClient(boost::asio::io_context& io, tcp::endpoint server, std::string host);
 
-  // `done` is called once, from the event loop, at the latest after `timeout`.
-  void send(HttpRequest request, Micros timeout, HttpConnection::Done done);
-  // Drops the connection and calls `then` after `pause`.
-  void backOff(Micros pause, std::function<void()> then);
+  // Calls `on_response` once from the event loop, at the latest after `timeout`.
+  void send(HttpRequest request, Micros timeout, HttpConnection::OnResponse on_response);
+  // Closes the connection and calls `on_elapsed` after `delay`.
+  void backOff(Micros delay, std::function<void()> on_elapsed);
   void changeServer(tcp::endpoint server, std::string host);
-  void stop();  // nothing is sent after it
+  // Nothing is sent from now on.
+  void stop();
 
  private:
   boost::asio::io_context& io_;
@@ -31,7 +33,7 @@
   std::string host_;
   std::unique_ptr<HttpConnection> connection_;
   boost::asio::steady_timer backoff_timer_;
-  bool stopped_ = false;
+  bool is_stopped_ = false;
 };
 
 }  // namespace delivery
--- a/src/network/endpoint_connection_accounting.cpp
+++ b/src/network/endpoint_connection_accounting.cpp
@@ -60,15 +60,15 @@
   }
 }
 
-// Max-min fair: of the endpoint with the most idle connections, if those are more than `endpoint` has itself.
+// Max-min fair: returns the endpoint with the most idle connections, if it has more than `endpoint`.
 std::optional<std::string> EndpointConnectionAccounting::idleEvictionCandidate(
     const std::string& endpoint) const {
   const auto own = usage_.find(endpoint);
-  std::int64_t most_idle = own == usage_.end() ? 0 : own->second.idle;
+  std::int64_t max_idle = own == usage_.end() ? 0 : own->second.idle;
   std::optional<std::string> candidate;
   for (const auto& [other, usage] : usage_) {
-    if (usage.idle > most_idle) {
-      most_idle = usage.idle;
+    if (usage.idle > max_idle) {
+      max_idle = usage.idle;
       candidate = other;
     }
   }
@@ -81,8 +81,8 @@
 }
 
 std::optional<std::string> EndpointConnectionAccounting::excessIdleCandidate() const {
-  const std::string for_no_endpoint;
-  return idle_ > budget_.max_idle_connections ? idleEvictionCandidate(for_no_endpoint) : std::nullopt;
+  const std::string no_endpoint;
+  return idle_ > budget_.max_idle_connections ? idleEvictionCandidate(no_endpoint) : std::nullopt;
 }
 
 }  // namespace delivery
--- a/src/network/endpoint_pool.cpp
+++ b/src/network/endpoint_pool.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 constexpr std::size_t kMaxBodyBytes = 65536;
-// An idle connection is closed before the endpoint would, by this part of its idle timeout: a request must
-// not cross the close.
+// An idle connection is closed earlier than the endpoint would close it, by 1/20 of the endpoint's idle
+// timeout, so that no request is sent while the endpoint closes the connection.
 constexpr Micros kIdleMarginDivisor = 20;
 
 HttpRequest deliveryRequest(const AcceptedMessage& message) {
@@ -33,7 +33,8 @@
   return request;
 }
 
-// The decision module counts idle connections itself, and takes a connection as kept after these results.
+// Whether the connection may be kept after a call. The decision module counts idle connections itself, and
+// assumes that the connection is kept after these results.
 bool leavesConnectionOpen(AttemptResult result) {
   return result == AttemptResult::ok || result == AttemptResult::error || result == AttemptResult::throttled;
 }
@@ -54,12 +55,12 @@
       idle_timer_(io) {}
 
 void EndpointPool::setEndpoint(const std::string& endpoint, const std::string& address, bool has_own_route) {
-  Endpoint& known = endpoints_[endpoint];
-  known.has_own_route = has_own_route;
-  if (known.address == address) {
+  Endpoint& entry = endpoints_[endpoint];
+  entry.has_own_route = has_own_route;
+  if (entry.address == address) {
     return;
   }
-  known.address = address;
+  entry.address = address;
   closeIdle(endpoint);
 }
 
@@ -88,17 +89,17 @@
   }
 }
 
-// An idle connection first; else one is opened if the endpoint and the budget have capacity for one more.
-// False: there is no connection for it now. May end the call.
+// Uses an idle connection if there is one, and otherwise opens one if the endpoint and the budget have
+// capacity for it. Returns false if no connection is available now. May end the call.
 bool EndpointPool::tryStart(const CallId& id, Call& call) {
-  const bool reuses = takeIdleConnection(call);
+  const bool has_idle_connection = reuseIdleConnection(call);
   call.address = endpoints_[call.endpoint].address;
-  if (!reuses) {
+  if (!has_idle_connection) {
     if (!canOpenConnection(call.endpoint)) {
       return false;
     }
     if (!createConnection(call)) {
-      reportLater(id, AttemptResult::connect_failed, call.started_at);
+      postOutcome(id, AttemptResult::connect_failed, call.started_at);
       calls_.erase(id);
       return true;
     }
@@ -107,13 +108,13 @@
   return true;
 }
 
-// The one that was used last.
-bool EndpointPool::takeIdleConnection(Call& call) {
+// Assigns the most recently used idle connection to the call. Returns false if there is none.
+bool EndpointPool::reuseIdleConnection(Call& call) {
   auto& idle = idle_[call.endpoint];
   while (!idle.empty()) {
     std::unique_ptr<HttpConnection> connection = std::move(idle.back().connection);
     idle.pop_back();
-    if (connection->reusable()) {
+    if (connection->isReusable()) {
       accounting_.onReused(call.endpoint);
       call.connection = std::move(connection);
       call.connection_state = ConnectionState::in_use;
@@ -124,7 +125,7 @@
   return false;
 }
 
-// Closes an idle connection to another endpoint if that makes room.
+// Whether a connection may be opened. Closes an idle connection to another endpoint if that makes room.
 bool EndpointPool::canOpenConnection(const std::string& endpoint) {
   if (const auto other = accounting_.evictionCandidateToOpen(endpoint)) {
     closeOldestIdle(*other);
@@ -132,7 +133,7 @@
   return accounting_.canOpen(endpoint);
 }
 
-// False: the endpoint's address is malformed.
+// Returns false if the endpoint's address is malformed.
 bool EndpointPool::createConnection(Call& call) {
   try {
     call.connection =
@@ -151,11 +152,12 @@
   if (call.connection_state == ConnectionState::opening) {
     callbacks.on_connected = [this, id] { onConnected(id); };
   }
-  const Micros queued_for = call.queue_timer ? monotonicNow() - call.started_at : 0;
+  const Micros queueing_time = call.queue_timer ? monotonicNow() - call.started_at : 0;
   call.queue_timer.reset();
   call.connection->exchange(
-      deliveryRequest(call.message), std::max<Micros>(0, limits_.connect_timeout - queued_for), call.deadline,
-      [this, id](const HttpResponse& answer) { onExchangeCompleted(id, answer); }, std::move(callbacks));
+      deliveryRequest(call.message), std::max<Micros>(0, limits_.connect_timeout - queueing_time),
+      call.deadline, [this, id](const HttpResponse& response) { onExchangeCompleted(id, response); },
+      std::move(callbacks));
 }
 
 void EndpointPool::onConnected(const CallId& id) {
@@ -165,7 +167,8 @@
   startQueued();
 }
 
-// For as long as connecting may take: a call that found no connection ends like one that never connected.
+// Queues the call for as long as connecting may take. A call that gets no connection in this time ends like
+// one that failed to connect.
 void EndpointPool::queueForConnection(const CallId& id, Call& call) {
   queued_.push_back(id);
   const Micros time_left = std::max<Micros>(0, call.deadline.remaining(call.started_at));
@@ -185,10 +188,10 @@
   }
   const Micros started_at = entry->second.started_at;
   calls_.erase(entry);
-  reportLater(id, AttemptResult::connect_failed, started_at);
+  postOutcome(id, AttemptResult::connect_failed, started_at);
 }
 
-// In their order, as far as there are connections now.
+// Starts queued calls in their order, as far as connections are available.
 void EndpointPool::startQueued() {
   std::deque<CallId> queued;
   queued.swap(queued_);
@@ -203,7 +206,8 @@
   }
 }
 
-// Those that are queued for a connection, that are connecting, and that are partly written: none has run.
+// Ends the calls that are queued for a connection, are connecting or are partly written: none of them has
+// run.
 void EndpointPool::withdrawUnwritten(const std::function<bool(const Call&)>& matches) {
   for (auto entry = calls_.begin(); entry != calls_.end();) {
     Call& call = entry->second;
@@ -212,7 +216,7 @@
       ++entry;
       continue;
     }
-    reportLater(entry->first, AttemptResult::not_sent, call.started_at);
+    postOutcome(entry->first, AttemptResult::not_sent, call.started_at);
     releaseConnection(call);
     entry = calls_.erase(entry);  // closes the connection
   }
@@ -226,7 +230,7 @@
   startQueued();
 }
 
-// Holds for calls that were decided on before it was known as well.
+// The Retry-After also applies to calls that were decided on before it was known.
 void EndpointPool::onRetryAfter(const std::string& endpoint, std::int64_t destination) {
   const bool has_own_route = endpoints_[endpoint].has_own_route;
   withdrawUnwritten([&](const Call& call) {
@@ -237,6 +241,7 @@
   }
 }
 
+// Records in the accounting that the call's connection is no longer counted for it.
 void EndpointPool::releaseConnection(Call& call) {
   switch (call.connection_state) {
     case ConnectionState::opening:
@@ -251,21 +256,21 @@
   call.connection_state = ConnectionState::none;
 }
 
-void EndpointPool::onExchangeCompleted(const CallId& id, const HttpResponse& answer) {
+void EndpointPool::onExchangeCompleted(const CallId& id, const HttpResponse& response) {
   const auto entry = calls_.find(id);
   if (entry == calls_.end()) {
     return;
   }
-  if (answer.stale_connection && !entry->second.is_cancelled) {
-    // Nothing was written: the call is made on another connection.
+  if (response.stale_connection && !entry->second.is_cancelled) {
+    // Nothing was written, so the call is made on another connection.
     releaseConnection(entry->second);
     entry->second.connection.reset();
     startOrQueue(id, entry->second);
     return;
   }
-  AttemptOutcome outcome = outcomeOf(id, entry->second, answer);
+  AttemptOutcome outcome = outcomeOf(id, entry->second, response);
   if (outcome.result != AttemptResult::throttled) {
-    onResponseHead(id, answer);  // a Retry-After counts though the answer was truncated or late
+    onResponseHead(id, response);  // a Retry-After also counts if the response was truncated or late
   }
   Call call = std::move(entry->second);
   calls_.erase(entry);
@@ -280,24 +285,26 @@
   on_outcome_(std::move(outcome));
 }
 
-AttemptOutcome EndpointPool::outcomeOf(const CallId& id, const Call& call, const HttpResponse& answer) const {
+AttemptOutcome EndpointPool::outcomeOf(const CallId& id, const Call& call,
+                                       const HttpResponse& response) const {
   AttemptOutcome outcome;
   outcome.id = id.message_id;
   outcome.attempt = id.attempt;
-  outcome.result = attemptResultOf(answer);
+  outcome.result = attemptResultOf(response);
   if (outcome.result == AttemptResult::timeout && call.is_cancelled) {
     outcome.result = AttemptResult::cancelled;
   }
-  outcome.finished = isMessageFinished(answer);
+  outcome.finished = isMessageFinished(response);
   if (outcome.result == AttemptResult::throttled) {
-    outcome.retry_after = retryAfterOf(answer);
+    outcome.retry_after = retryAfterOf(response);
   }
   outcome.round_trip_time = roundTripTime(call.started_at);
-  outcome.load_report = loadReportOf(answer);
+  outcome.load_report = loadReportOf(response);
   return outcome;
 }
 
-// The body may be late, or endless: a Retry-After counts from here on, not from the outcome.
+// The body may be late or endless, so a Retry-After takes effect with the response head, not with the
+// outcome.
 void EndpointPool::onResponseHead(const CallId& id, const HttpResponse& head) {
   const auto entry = calls_.find(id);
   if (entry == calls_.end()) {
@@ -318,7 +325,8 @@
   on_outcome_(std::move(outcome));
 }
 
-void EndpointPool::reportLater(const CallId& id, AttemptResult result, Micros started_at) {
+// Reports the outcome from the event loop, so that startCall() and cancel() never call on_outcome_.
+void EndpointPool::postOutcome(const CallId& id, AttemptResult result, Micros started_at) {
   unreported_.insert(id);
   asio::post(io_, [this, id, result, started_at] {
     unreported_.erase(id);
@@ -331,7 +339,7 @@
   });
 }
 
-// A call that is written may have been answered: its connection reports that before it is closed.
+// A call that is written may have been answered. Its connection reports such a response before it is closed.
 bool EndpointPool::cancel(const CallId& id) {
   const auto entry = calls_.find(id);
   if (entry == calls_.end()) {
@@ -340,10 +348,10 @@
   Call& call = entry->second;
   if (call.connection && call.connection->requestWritten()) {
     call.is_cancelled = true;
-    call.connection->abandon();
+    call.connection->expire();
     return true;
   }
-  reportLater(id, AttemptResult::not_sent, call.started_at);
+  postOutcome(id, AttemptResult::not_sent, call.started_at);
   releaseConnection(call);
   calls_.erase(entry);
   startQueued();
@@ -387,9 +395,10 @@
   startQueued();
 }
 
-// Unless the connection is closed, its endpoint has moved, or there is no room for one more.
+// Keeps the call's connection idle, unless it is closed, the endpoint's address has changed or there is no
+// room for one more.
 void EndpointPool::keepIdle(Call& call) {
-  if (!call.connection->reusable() || call.address != endpoints_[call.endpoint].address) {
+  if (!call.connection->isReusable() || call.address != endpoints_[call.endpoint].address) {
     return;
   }
   if (!accounting_.canKeepIdle()) {
@@ -405,6 +414,7 @@
   scheduleIdleSweep();
 }
 
+// How long a connection is kept idle.
 Micros EndpointPool::maxIdleTime() const {
   return limits_.idle_timeout - limits_.idle_timeout / kIdleMarginDivisor;
 }
--- a/src/network/endpoint_pool.h
+++ b/src/network/endpoint_pool.h
@@ -1,6 +1,6 @@
-// Calls to endpoints: the pool of connections, and the outcome of each call. It decides nothing: the decision
-// module says when a call is made and how long it may take, EndpointConnectionAccounting how many connections
-// there may be.
+// Makes the calls to endpoints over a pool of connections, and reports the outcome of each call. The decision
+// module decides when a call is made and how long it may take, and EndpointConnectionAccounting how many
+// connections there may be.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -24,36 +24,45 @@
 
 class EndpointPool {
  public:
-  // Called from the event loop, never from within startCall() or cancel().
+  // Receives the outcome of a call, or its Retry-After while it is still in flight. Called from the event
+  // loop, never from within startCall() or cancel().
   using OnOutcome = std::function<void(AttemptOutcome)>;
-  // Calls that are not written yet were withdrawn, at the endpoint for a drain, or where a destination is
-  // named for a Retry-After: another process of this sender may have such calls as well.
+  // Called after the calls that are not yet written were withdrawn: for a drain of the endpoint, or, if
+  // `destination` is set, for a Retry-After. Another process of this sender may have such calls as well.
   using OnCallsWithdrawn =
       std::function<void(const std::string& endpoint, std::optional<std::int64_t> destination)>;
   struct Limits {
     Micros connect_timeout = 0;
-    Micros idle_timeout = 0;  // after which endpoints close an idle connection; 0: none
+    Micros idle_timeout = 0;  // after which endpoints close an idle connection; 0: they do not
   };
 
   EndpointPool(boost::asio::io_context& io, Limits limits, EndpointConnectionAccounting& accounting,
                OnOutcome on_outcome, OnCallsWithdrawn on_calls_withdrawn = {});
 
-  // Of an endpoint that is listed, new or changed. `has_own_route`: a Retry-After of another endpoint of its
-  // destination does not hold for it.
+  // Adds a listed endpoint or changes its address. `has_own_route`: a Retry-After of another endpoint of its
+  // destination does not apply to it.
   void setEndpoint(const std::string& endpoint, const std::string& address, bool has_own_route = false);
+  // All endpoints that were ever added.
   std::vector<std::string> knownEndpoints() const;
-  // No answer is awaited after `deadline`, connecting included.
+  // Starts a call, or queues it until a connection is available. The call ends at `deadline` at the latest;
+  // connecting counts towards that.
   void startCall(const AcceptedMessage& message, int attempt, const std::string& endpoint, Deadline deadline);
-  // False: there is no such call here. An answer that has arrived by now still counts.
+  // Ends a call now. A response that has already arrived still counts. Returns false if this pool has no such
+  // call.
   bool cancel(const CallId& id);
-  // Calls that are not written yet are withdrawn: they did not run.
+  // Withdraws the calls to the endpoint that are not yet written. They did not run: their result is not_sent.
   void onEndpointDraining(const std::string& endpoint);
+  // Withdraws the calls that are not yet written and to which a Retry-After of the endpoint applies: those to
+  // the endpoint if it has its own route, otherwise those to the destination. Their result is not_sent.
   void onRetryAfter(const std::string& endpoint, std::int64_t destination);
+  // Closes the idle connections to the endpoint.
   void closeIdle(const std::string& endpoint);
   void closeAllIdle();
-  void applyBudget();  // that of the accounting has changed
+  // To be called after the budget of the accounting has changed.
+  void applyBudget();
 
-  std::vector<CallId> callsInFlight() const;  // including those whose outcome is still to be reported
+  // Both include the calls whose outcome is still to be reported.
+  std::vector<CallId> callsInFlight() const;
   std::size_t inFlightCount() const { return calls_.size() + unreported_.size(); }
   std::size_t idleCount() const { return accounting_.idleCount(); }
 
@@ -66,25 +75,26 @@
     std::string address;
     bool has_own_route = false;
   };
-  enum class ConnectionState { none, opening, in_use };  // as the accounting has it
+  // The state in which the accounting counts a call's connection.
+  enum class ConnectionState { none, opening, in_use };
   struct Call {
     AcceptedMessage message;
     std::string endpoint;
-    std::string address;  // its endpoint's, when the connection was chosen
+    std::string address;  // of the endpoint when the connection was selected
     Micros started_at = 0;
     Deadline deadline;
     std::unique_ptr<HttpConnection> connection;
     ConnectionState connection_state = ConnectionState::none;
-    std::unique_ptr<boost::asio::steady_timer> queue_timer;  // while it is queued for a connection
+    std::unique_ptr<boost::asio::steady_timer> queue_timer;  // set while the call is queued for a connection
     bool is_cancelled = false;
-    bool retry_after_reported = false;
+    bool retry_after_reported = false;  // a Retry-After is reported once for each call
   };
   using Calls = std::map<CallId, Call>;
 
   // Starting a call.
   void startOrQueue(const CallId& id, Call& call);
   bool tryStart(const CallId& id, Call& call);
-  bool takeIdleConnection(Call& call);
+  bool reuseIdleConnection(Call& call);
   bool canOpenConnection(const std::string& endpoint);
   bool createConnection(Call& call);
   void sendRequest(const CallId& id, Call& call);
@@ -93,13 +103,13 @@
   void onQueueTimeout(const CallId& id);
   void startQueued();
 
-  // Ending it.
+  // Ending a call.
   void onResponseHead(const CallId& id, const HttpResponse& head);
-  void onExchangeCompleted(const CallId& id, const HttpResponse& answer);
-  AttemptOutcome outcomeOf(const CallId& id, const Call& call, const HttpResponse& answer) const;
+  void onExchangeCompleted(const CallId& id, const HttpResponse& response);
+  AttemptOutcome outcomeOf(const CallId& id, const Call& call, const HttpResponse& response) const;
   void withdrawUnwritten(const std::function<bool(const Call&)>& matches);
-  void reportLater(const CallId& id, AttemptResult result, Micros started_at);
-  void releaseConnection(Call& call);  // in the accounting
+  void postOutcome(const CallId& id, AttemptResult result, Micros started_at);
+  void releaseConnection(Call& call);
 
   // Idle connections.
   void keepIdle(Call& call);
@@ -115,12 +125,12 @@
   OnOutcome on_outcome_;
   OnCallsWithdrawn on_calls_withdrawn_;
   std::map<std::string, Endpoint> endpoints_;
-  std::map<std::string, std::deque<IdleConnection>> idle_;  // by endpoint, the oldest first
+  std::map<std::string, std::deque<IdleConnection>> idle_;  // by endpoint, oldest first
   Calls calls_;
-  std::set<CallId> unreported_;  // ended, the report of the outcome is posted to the event loop
-  std::deque<CallId> queued_;    // for a connection, the oldest first; may name calls that have ended
+  std::set<CallId> unreported_;  // ended calls whose outcome is posted to the event loop
+  std::deque<CallId> queued_;    // for a connection, oldest first; may contain calls that have ended
   boost::asio::steady_timer idle_timer_;
-  bool idle_sweep_scheduled_ = false;
+  bool idle_sweep_scheduled_ = false;  // idle_timer_ is set
 };
 
 }  // namespace delivery
--- a/src/network/endpoint_watch.cpp
+++ b/src/network/endpoint_watch.cpp
@@ -10,33 +10,34 @@
 
 namespace {
 
-constexpr Micros kWatchHold = 20'000'000;       // how long discovery may hold a request open
-constexpr Micros kResponseTimeout = 1'500'000;  // on top of that, for the response itself
-// The longest backoff, jitter included, stays below 6 s: by then the platform expects each sender to know
-// of a change.
+constexpr Micros kLongPollHold = 20'000'000;    // how long discovery may hold a request open
+constexpr Micros kResponseTimeout = 1'500'000;  // additional time for the response itself
+// The maximum backoff, including jitter, is below 6 s: within this time the platform expects each sender to
+// know of a change.
 constexpr Micros kInitialBackoff = 100'000;
 constexpr Micros kMaxBackoff = 3'200'000;
 constexpr int kMaxBackoffDoublings = 8;
 
-// Doubles with each failure in a row.
+// The backoff doubles with each consecutive failure, up to its maximum.
 Micros backoffAfter(int consecutive_failures) {
   const int doublings = std::min(consecutive_failures - 1, kMaxBackoffDoublings);
   return std::min(kMaxBackoff, kInitialBackoff << doublings);
 }
 
-// Half to one and a half times the backoff, so that a fleet that failed together does not retry together.
+// Returns a random value from 0.5 to 1.5 times the backoff, so that senders that failed at the same time do
+// not retry at the same time.
 Micros withJitter(Micros backoff, std::mt19937_64& random) {
   return std::uniform_int_distribution<Micros>(backoff / 2, backoff * 3 / 2)(random);
 }
 
 }  // namespace
 
-EndpointWatch::EndpointWatch(DiscoveryClient client, std::uint64_t seed, OnAnswer on_answer)
-    : client_(std::move(client)), on_answer_(std::move(on_answer)), random_(seed) {}
+EndpointWatch::EndpointWatch(DiscoveryClient client, std::uint64_t seed, OnEndpointList on_endpoint_list)
+    : client_(std::move(client)), on_endpoint_list_(std::move(on_endpoint_list)), random_(seed) {}
 
 void EndpointWatch::changeServer(tcp::endpoint server, std::string host) {
   client_.changeServer(std::move(server), std::move(host));
-  consecutive_failures_ = 0;  // those were the previous server's
+  consecutive_failures_ = 0;  // the failures were those of the previous server
   start(EndpointList::kNoIndex);
 }
 
@@ -46,15 +47,15 @@
 }
 
 void EndpointWatch::requestList() {
-  const bool watches = known_index_ >= 0;
+  const bool is_long_poll = known_index_ >= 0;
   HttpRequest request;
   request.method = "GET";
   request.target = "/v1/endpoints";
-  if (watches) {
+  if (is_long_poll) {
     request.target += "?from=" + std::to_string(known_index_) +
-                      "&hold_ms=" + std::to_string(kWatchHold / kMicrosPerMillisecond);
+                      "&hold_ms=" + std::to_string(kLongPollHold / kMicrosPerMillisecond);
   }
-  const Micros timeout = (watches ? kWatchHold : 0) + kResponseTimeout;
+  const Micros timeout = (is_long_poll ? kLongPollHold : 0) + kResponseTimeout;
   client_.send(std::move(request), timeout, [this](const HttpResponse& response) { onResponse(response); });
 }
 
@@ -64,16 +65,16 @@
     return;
   }
   try {
-    known_index_ = on_answer_(json::parse(response.body));
+    known_index_ = on_endpoint_list_(json::parse(response.body));
   } catch (const std::exception& error) {
-    // One garbled answer must not end the watch.
+    // An unreadable response must not end the watch.
     logWarning("discovery", "unreadable_endpoint_list").field("error", error.what());
     known_index_ = EndpointList::kNoIndex;
     retryWithBackoff();
     return;
   }
   if (consecutive_failures_ > 0) {
-    logInfo("discovery", "calls_succeed_again").field("failed_calls", consecutive_failures_);
+    logInfo("discovery", "calls_recovered").field("failed_calls", consecutive_failures_);
   }
   consecutive_failures_ = 0;
   requestList();
--- a/src/network/endpoint_watch.h
+++ b/src/network/endpoint_watch.h
@@ -1,5 +1,5 @@
-// Watches discovery's endpoint list with long polling: each request names the index of the list that is
-// known, and discovery answers once it has a newer one.
+// Watches the endpoint list of the discovery server by long polling: each request contains the index of the
+// known list, and the server responds once it has a newer list.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,22 @@
 
 namespace delivery {
 
-// Never gives up: a call that fails is retried with exponential backoff, and the last list stays in force.
+// A request that fails is retried with exponential backoff, without a limit on the number of attempts. The
+// last list stays in use meanwhile.
 class EndpointWatch {
  public:
-  // Applies an answer and returns the index from which to watch on. If it throws, the answer could not be
-  // read and the full list is requested.
-  using OnAnswer = std::function<std::int64_t(const json& answer)>;
+  // Applies a received list and returns its index, from which the watch continues. An exception means that
+  // the list is unreadable; the full list is then requested.
+  using OnEndpointList = std::function<std::int64_t(const json& list)>;
 
-  // `seed`: of the backoff's jitter.
-  EndpointWatch(DiscoveryClient client, std::uint64_t seed, OnAnswer on_answer);
+  // `seed`: for the random jitter of the backoff.
+  EndpointWatch(DiscoveryClient client, std::uint64_t seed, OnEndpointList on_endpoint_list);
 
-  // `known_index`: of the list that is known already; EndpointList::kNoIndex requests the full list at once.
+  // `known_index`: the index of the list that is already known. EndpointList::kNoIndex requests the full list
+  // at once.
   void start(std::int64_t known_index);
-  void changeServer(tcp::endpoint server, std::string host);  // requests the full list there, then watches it
+  // Requests the full list from the new server and watches it from then on.
+  void changeServer(tcp::endpoint server, std::string host);
   void stop() { client_.stop(); }
 
  private:
@@ -33,7 +36,7 @@
   void retryWithBackoff();
 
   DiscoveryClient client_;
-  OnAnswer on_answer_;
+  OnEndpointList on_endpoint_list_;
   std::mt19937_64 random_;
   std::int64_t known_index_ = EndpointList::kNoIndex;
   int consecutive_failures_ = 0;
--- a/src/network/http_connection.cpp
+++ b/src/network/http_connection.cpp
@@ -22,8 +22,8 @@
 namespace {
 
 constexpr std::size_t kMaxHeadBytes = 16384;
-constexpr int kMaxInformationalHeads = 16;  // skipped in one exchange
-constexpr Micros kCancelRetryInterval = 1000;
+constexpr int kMaxInformationalHeads = 16;     // how many heads with status 1xx are skipped in one exchange
+constexpr Micros kCancelRetryInterval = 1000;  // until the read in progress is cancelled again
 constexpr int kHttpVersion = 11;
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusSwitchingProtocols = 101;
@@ -59,9 +59,11 @@
 
 }  // namespace
 
-// Handlers of an earlier exchange may still be queued when the next one begins, or when the connection is
-// destroyed: each belongs to an exchange (forThisExchange) and does nothing once that has ended.
+// Handlers of an earlier exchange may still be queued when the next one begins or when the connection is
+// destroyed. Therefore each handler belongs to an exchange (see forThisExchange) and does nothing once that
+// exchange has ended.
 class HttpConnection::Impl : public std::enable_shared_from_this<Impl> {
+  // Wraps a handler so that it does nothing once the current exchange has ended.
   template <class Handler>
   auto forThisExchange(Handler handler) {
     return [self = shared_from_this(), id = exchange_id_, handler](auto... arguments) {
@@ -79,11 +81,11 @@
         host_(std::move(host)),
         max_body_bytes_(max_body_bytes) {}
 
-  void start(HttpRequest request, Micros connect_timeout, Deadline deadline, Done done,
+  void start(HttpRequest request, Micros connect_timeout, Deadline deadline, OnResponse on_response,
              ProgressCallbacks progress) {
-    beginExchange(std::move(request), deadline, std::move(done), std::move(progress));
+    beginExchange(std::move(request), deadline, std::move(on_response), std::move(progress));
     const Micros remaining = deadline_.remaining(monotonicNow());
-    if (open_) {
+    if (is_open_) {
       setTimer(remaining);
       asio::post(socket_.get_executor(), forThisExchange([this] { write(); }));
       return;
@@ -92,52 +94,55 @@
     socket_.async_connect(peer_, forThisExchange([this](error_code error) { onConnected(error); }));
   }
 
-  void abandon() { setTimer(0); }
+  // Ends the exchange from the event loop, as at its deadline.
+  void expire() { setTimer(0); }
 
-  // Nothing is reported any more.
-  void abort() {
+  // Ends the exchange without calling its callbacks.
+  void cancel() {
     ++exchange_id_;
-    done_ = nullptr;
+    on_response_ = nullptr;
     progress_ = {};
     timer_.cancel();
     close();
   }
 
-  // An idle connection that has something to read was closed by the peer, or sent bytes that nobody asked
-  // for. A request written to it would end in a reset, and might have run.
-  bool reusable() { return open_ && !done_ && nothingToRead(); }
+  // An idle connection that has something to read was closed by the peer, or the peer sent bytes without a
+  // request. A request written to it would end with a reset, and it would be unknown whether it ran.
+  bool isReusable() { return is_open_ && !on_response_ && hasNothingToRead(); }
 
   bool requestWritten() const { return request_written_; }
 
  private:
-  void beginExchange(HttpRequest request, Deadline deadline, Done done, ProgressCallbacks progress) {
+  void beginExchange(HttpRequest request, Deadline deadline, OnResponse on_response,
+                     ProgressCallbacks progress) {
     ++exchange_id_;
     remaining_time_field_ = std::move(request.remaining_time_field);
     request_ = toBeastRequest(std::move(request), host_);
     expectResponse();
     deadline_ = deadline;
-    done_ = std::move(done);
+    on_response_ = std::move(on_response);
     progress_ = std::move(progress);
     informational_heads_ = 0;
     request_written_ = false;
     head_received_ = false;
     keep_alive_ = false;
-    time_is_up_ = false;
-    reused_ = open_;
+    is_expired_ = false;
+    is_reused_ = is_open_;
   }
 
+  // Prepares the parser for the next response head.
   void expectResponse() {
     parser_.emplace();
-    parser_->get().result(0u);  // no status yet; Beast's default is 200
+    parser_->get().result(0u);  // no status yet, because Beast's default is 200
     parser_->body_limit(max_body_bytes_);
     parser_->header_limit(kMaxHeadBytes);
   }
 
   // ---- Time limit
 
-  // Ends the exchange after `delay`, in place of the time limit set before.
+  // Sets the time limit: ends the exchange after `delay`. Replaces an earlier time limit.
   void setTimer(Micros delay) {
-    const std::uint64_t timer_id = ++timer_id_;  // the handler of an earlier setting may be queued
+    const std::uint64_t timer_id = ++timer_id_;  // the handler of an earlier time limit may be queued
     timer_.expires_after(std::chrono::microseconds(std::max<Micros>(0, delay)));
     timer_.async_wait(forThisExchange([this, timer_id](error_code cancelled) {
       if (!cancelled && timer_id == timer_id_) {
@@ -148,13 +153,14 @@
 
   void onTimeout() {
     if (!request_written_) {
-      fail(ExchangeStatus::not_written);
+      finishWithFailure(ExchangeStatus::not_written);
       return;
     }
-    // The response may be in the socket, unread while this process was busy. So the read under way is
-    // cancelled, and its handler reads what is there. It may have completed and be about to read on,
-    // uncancelled: hence again.
-    time_is_up_ = true;
+    // The response may be in the socket, which this process may have been too busy to read. Therefore the
+    // read in progress is cancelled, and its handler reads what is available. If that read has just
+    // completed, its handler starts another one, which is not cancelled. Therefore the timer is set to cancel
+    // again.
+    is_expired_ = true;
     error_code ignored;
     socket_.cancel(ignored);
     setTimer(kCancelRetryInterval);
@@ -164,10 +170,10 @@
 
   void onConnected(error_code error) {
     if (error) {
-      fail(ExchangeStatus::not_written);
+      finishWithFailure(ExchangeStatus::not_written);
       return;
     }
-    open_ = true;
+    is_open_ = true;
     if (progress_.on_connected) {
       progress_.on_connected();
     }
@@ -179,12 +185,12 @@
 
   void write() {
     const Micros remaining = deadline_.remaining(monotonicNow());
-    if (remaining <= 0) {  // the response could not arrive in time
-      fail(ExchangeStatus::not_written);
+    if (remaining <= 0) {  // no time is left for a response
+      finishWithFailure(ExchangeStatus::not_written);
       return;
     }
-    if (reused_ && !nothingToRead()) {
-      failOnStaleConnection();
+    if (is_reused_ && !hasNothingToRead()) {
+      finishAsStale();
       return;
     }
     if (!remaining_time_field_.empty()) {
@@ -195,9 +201,9 @@
     continueWriting();
   }
 
-  // Written by hand rather than by asio::async_write, so that request_written_ is true from the moment at
-  // which the kernel has the last byte. A call that is cancelled or times out between that and a handler
-  // would otherwise count as one that cannot have run.
+  // Writes directly to the socket instead of using asio::async_write, so that request_written_ is true from
+  // the moment at which the kernel has accepted the last byte. Otherwise a call that is cancelled or times
+  // out between that moment and the completion handler would be reported as one that cannot have run.
   void continueWriting() {
     error_code error;
     socket_.non_blocking(true, error);
@@ -209,18 +215,18 @@
       return;
     }
     if (error) {
-      fail(ExchangeStatus::not_written);
+      finishWithFailure(ExchangeStatus::not_written);
       return;
     }
     request_written_ = true;
-    std::string().swap(request_bytes_);  // its memory is not needed while the response is awaited
+    std::string().swap(request_bytes_);  // frees the memory, which is not needed for the response
     readHead();
   }
 
   void waitUntilWritable() {
     socket_.async_wait(tcp::socket::wait_write, forThisExchange([this](error_code error) {
                          if (error) {
-                           fail(ExchangeStatus::not_written);
+                           finishWithFailure(ExchangeStatus::not_written);
                          } else {
                            continueWriting();
                          }
@@ -237,23 +243,23 @@
   void onHead(error_code error) {
     const bool response_still_to_come = !error && skipInformationalHead();
     if (response_still_to_come) {
-      if (time_is_up_) {
-        readAvailable();
+      if (is_expired_) {
+        readWithoutWaiting();
       } else {
         readHead();
       }
       return;
     }
-    head_received_ = !error;  // from here on the status is known, whatever becomes of the body
-    if (time_is_up_ && (!error || error == asio::error::operation_aborted)) {
-      readAvailable();
+    head_received_ = !error;  // the status is known now, even if the body fails
+    if (is_expired_ && (!error || error == asio::error::operation_aborted)) {
+      readWithoutWaiting();
       return;
     }
     if (error) {
       if (statusLineSaysOk()) {
-        respond(false);
+        finishWithResponse(false);
       } else {
-        fail(ExchangeStatus::broken);
+        finishWithFailure(ExchangeStatus::broken);
       }
       return;
     }
@@ -266,8 +272,8 @@
     }
   }
 
-  // A head with a status of 1xx announces that the response is still to come. It is skipped, but for a peer
-  // that sends nothing else.
+  // Skips a head with status 1xx: the response is still to come. Returns false if the head is not
+  // informational, or if there were too many, as a peer may send nothing else.
   bool skipInformationalHead() {
     const unsigned status = parser_->get().result_int();
     if (status < 100 || status > 199 || status == kStatusSwitchingProtocols) {
@@ -284,15 +290,15 @@
   void readBody() {
     http::async_read(socket_, read_buffer_, *parser_, forThisExchange([this](error_code error, std::size_t) {
                        if (error == asio::error::operation_aborted) {
-                         readAvailable();
+                         readWithoutWaiting();
                        } else {
-                         respond(!error);
+                         finishWithResponse(!error);
                        }
                      }));
   }
 
-  // The time is up: reads what is in the socket without waiting, and ends the exchange.
-  void readAvailable() {
+  // Used after the time limit: reads what is in the socket without waiting, and ends the exchange.
+  void readWithoutWaiting() {
     error_code error;
     socket_.non_blocking(true, error);
     while (!error && !head_received_) {
@@ -303,14 +309,15 @@
       http::read(socket_, read_buffer_, *parser_, error);
     }
     if (head_received_ || statusLineSaysOk()) {
-      respond(!error);
+      finishWithResponse(!error);
     } else if (error == asio::error::would_block) {
-      fail(ExchangeStatus::timed_out);
+      finishWithFailure(ExchangeStatus::timed_out);
     } else {
-      fail(ExchangeStatus::broken);
+      finishWithFailure(ExchangeStatus::broken);
     }
   }
 
+  // Whether the complete body is already in read_buffer_ or parsed.
   bool bodyIsBuffered() const {
     if (parser_->is_done()) {
       return true;
@@ -323,10 +330,11 @@
     return read_buffer_.size() >= std::strtoull(std::string(length->value()).c_str(), nullptr, 10);
   }
 
-  // A complete status line that says 200 counts as delivered, whatever follows it.
+  // A complete status line with status 200 counts as a delivery, whatever follows it.
   bool statusLineSaysOk() const { return parser_->get().result_int() == kStatusOk; }
 
-  bool nothingToRead() {
+  // Whether the socket holds neither bytes nor an end of the connection.
+  bool hasNothingToRead() {
     error_code error;
     socket_.non_blocking(true, error);
     if (error) {
@@ -351,20 +359,20 @@
     return response;
   }
 
-  void respond(bool body_complete) {
+  void finishWithResponse(bool body_complete) {
     keep_alive_ = body_complete && parser_->get().keep_alive() && read_buffer_.size() == 0;
     HttpResponse response = responseSoFar();
     response.body_complete = body_complete;
     finish(response);
   }
 
-  void fail(ExchangeStatus completion) {
+  void finishWithFailure(ExchangeStatus completion) {
     HttpResponse response;
     response.completion = completion;
     finish(response);
   }
 
-  void failOnStaleConnection() {
+  void finishAsStale() {
     HttpResponse response;
     response.completion = ExchangeStatus::not_written;
     response.stale_connection = true;
@@ -378,14 +386,14 @@
       close();
     }
     progress_ = {};
-    const Done done = std::exchange(done_, nullptr);
-    if (done) {
-      done(response);
+    const OnResponse on_response = std::exchange(on_response_, nullptr);
+    if (on_response) {
+      on_response(response);
     }
   }
 
   void close() {
-    open_ = false;
+    is_open_ = false;
     error_code ignored;
     socket_.close(ignored);
     read_buffer_.clear();
@@ -396,26 +404,26 @@
   const tcp::endpoint peer_;
   const std::string host_;  // for the Host field
   const std::size_t max_body_bytes_;
-  bool open_ = false;
+  bool is_open_ = false;
 
-  // The present exchange, or the last one.
+  // State of the current exchange, or of the last one if none is in progress.
   std::uint64_t exchange_id_ = 0;  // changes when an exchange begins and when it ends
   std::uint64_t timer_id_ = 0;     // changes when the timer is set
   Deadline deadline_;
   std::string remaining_time_field_;
   http::request<http::string_body> request_;
   std::string request_bytes_;
-  std::size_t bytes_written_ = 0;  // of request_bytes_, taken by the kernel
+  std::size_t bytes_written_ = 0;  // how many of request_bytes_ the kernel has accepted
   boost::beast::flat_buffer read_buffer_;
   std::optional<http::response_parser<http::string_body>> parser_;
-  Done done_;
+  OnResponse on_response_;
   ProgressCallbacks progress_;
   int informational_heads_ = 0;
-  bool reused_ = false;  // the connection was open when the exchange began
+  bool is_reused_ = false;  // the connection was open when the exchange began
   bool request_written_ = false;
   bool head_received_ = false;
   bool keep_alive_ = false;
-  bool time_is_up_ = false;
+  bool is_expired_ = false;  // the time limit has passed, and the request was written
 };
 
 HttpConnection::HttpConnection(asio::io_context& io, tcp::endpoint peer, std::string host,
@@ -423,20 +431,20 @@
     : impl_(std::make_shared<Impl>(io, std::move(peer), std::move(host), max_body_bytes)) {}
 
 HttpConnection::~HttpConnection() {
-  impl_->abort();
+  impl_->cancel();
 }
 
-void HttpConnection::exchange(HttpRequest request, Micros connect_timeout, Deadline deadline, Done done,
-                              ProgressCallbacks progress) {
-  impl_->start(std::move(request), connect_timeout, deadline, std::move(done), std::move(progress));
+void HttpConnection::exchange(HttpRequest request, Micros connect_timeout, Deadline deadline,
+                              OnResponse on_response, ProgressCallbacks progress) {
+  impl_->start(std::move(request), connect_timeout, deadline, std::move(on_response), std::move(progress));
 }
 
-void HttpConnection::abandon() {
-  impl_->abandon();
+void HttpConnection::expire() {
+  impl_->expire();
 }
 
-bool HttpConnection::reusable() const {
-  return impl_->reusable();
+bool HttpConnection::isReusable() const {
+  return impl_->isReusable();
 }
 
 bool HttpConnection::requestWritten() const {
--- a/src/network/http_connection.h
+++ b/src/network/http_connection.h
@@ -1,4 +1,5 @@
-// One kept-alive HTTP/1.1 client connection that carries one exchange at a time, on Boost.Beast.
+// A persistent HTTP/1.1 client connection that carries one exchange (a request and its response) at a time,
+// on Boost.Beast.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,41 +16,46 @@
 
 using boost::asio::ip::tcp;
 
-// Reports exactly how far an exchange got and never sends a request twice: what may have run must not be
-// repeated blindly. Its owner destroys it to cancel an exchange. All callbacks run on the event loop, never
-// from within a call of the connection's functions.
+// Reports exactly how far an exchange got, and never sends a request twice: a request that may have run must
+// not be repeated without the owner's decision. The owner cancels an exchange by destroying the connection.
+// All callbacks run on the event loop, never from within a call to a member function of this class.
 class HttpConnection {
  public:
-  using Done = std::function<void(const HttpResponse&)>;
+  using OnResponse = std::function<void(const HttpResponse&)>;
 
-  // What an exchange reports before it is done; each callback is called once at most.
+  // Reports progress before an exchange has ended. Each callback is called at most once.
   struct ProgressCallbacks {
-    std::function<void()> on_connected;  // a connection had to be opened and is up; nothing is written yet
-    Done on_head;                        // the response's head is here, and its body still on the way
+    std::function<void()> on_connected;  // a new connection was opened; nothing is written yet
+    OnResponse on_head;                  // the response head was received, and its body is incomplete
   };
 
-  // Opens nothing yet. A response with a longer body than `max_body_bytes` is cut off there and not complete.
+  // Does not open the connection yet. `host`: the value of the Host header field. A response body that is
+  // longer than `max_body_bytes` is truncated there and reported as incomplete.
   HttpConnection(boost::asio::io_context& io, tcp::endpoint peer, std::string host,
                  std::size_t max_body_bytes);
-  // Closes the connection; no callback of an exchange under way is called any more.
+  // Closes the connection. Callbacks of an exchange in progress are not called any more.
   ~HttpConnection();
   HttpConnection(const HttpConnection&) = delete;
   HttpConnection& operator=(const HttpConnection&) = delete;
 
-  // Opens the connection if need be, within `connect_timeout`, writes the request and reads the response
-  // until `deadline`. `done` is called once. One exchange at a time.
-  void exchange(HttpRequest request, Micros connect_timeout, Deadline deadline, Done done,
+  // Opens the connection if it is not open, within `connect_timeout`, writes the request and reads the
+  // response until `deadline`. Calls `on_response` once. Must not be called while another exchange is in
+  // progress.
+  void exchange(HttpRequest request, Micros connect_timeout, Deadline deadline, OnResponse on_response,
                 ProgressCallbacks progress = {});
 
-  // Ends the exchange now as if its deadline had come: a response that is in the socket already still counts.
-  void abandon();
+  // Ends the exchange as if its deadline had passed now. A response that is already in the socket still
+  // counts.
+  void expire();
 
-  bool reusable() const;        // open, idle, and not closed by the peer
-  bool requestWritten() const;  // the kernel has taken the last byte of the current request
+  // Whether the connection is open, idle, and not closed by the peer.
+  bool isReusable() const;
+  // Whether the kernel has accepted the last byte of the current request.
+  bool requestWritten() const;
 
  private:
   class Impl;
-  std::shared_ptr<Impl> impl_;  // the handlers of asynchronous operations share it
+  std::shared_ptr<Impl> impl_;  // shared with the handlers of asynchronous operations
 };
 
 }  // namespace delivery
--- a/tests/network/endpoint_connection_accounting_test.cpp
+++ b/tests/network/endpoint_connection_accounting_test.cpp
@@ -1,4 +1,4 @@
-// The bounds on connections to endpoints: handshakes, all of them, and idle ones.
+// Tests of the limits on connections to endpoints: on handshakes, on all connections and on idle ones.
 #include "network/endpoint_connection_accounting.h"
 
 #include <gtest/gtest.h>
@@ -28,9 +28,9 @@
   }
   EXPECT_FALSE(connections.canKeepIdle());
   EXPECT_EQ("e", connections.idleEvictionCandidate("f").value_or(""))
-      << "the endpoint with the most idle ones gives way";
+      << "the endpoint with the most idle connections makes room";
   EXPECT_FALSE(connections.idleEvictionCandidate("e"));
-  EXPECT_FALSE(connections.evictionCandidateToOpen("g")) << "there is room to open one";
+  EXPECT_FALSE(connections.evictionCandidateToOpen("g")) << "there is room for one more connection";
   for (int i = 0; i < 8; ++i) {
     connections.onOpening("g" + std::to_string(i));
     connections.onOpened("g" + std::to_string(i));
