--- a/src/network/connection_admission.h
+++ b/src/network/connection_admission.h
@@ -1,4 +1,4 @@
-// The rules on all connections of this process, which share one budget of descriptors.
+// The admission rules for all connections of this process, which share one budget of file descriptors.
 #pragma once
 
 #include "network/client_admission.h"
--- a/src/network/control_admission.cpp
+++ b/src/network/control_admission.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// The platform wants bad input at the control address ended within 3 s.
-constexpr Micros kCallTimeout = 2'000'000;
+// The platform requires that a connection with invalid input at the control address is ended within 3 s.
+constexpr Micros kConnectionTimeout = 2'000'000;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
 ConnectionId ControlAdmission::onAccepted(Micros now) {
   const ConnectionId id = ++last_id_;
   connections_.insert(id);
-  deadlines_.set(id, now + kCallTimeout);
+  deadlines_.set(id, now + kConnectionTimeout);
   return id;
 }
 
--- a/src/network/control_admission.h
+++ b/src/network/control_admission.h
@@ -1,4 +1,5 @@
-// Admission of connections at the control address: how many there may be, and for how long.
+// Admission control for connections to the control address: how many there may be and for how long they stay
+// open. It does no input or output: ControlServer owns the sockets.
 #pragma once
 
 #include <cstddef>
@@ -12,13 +13,14 @@
 
 class ControlAdmission {
  public:
-  // The connection to close before one more is accepted, if all places are taken: the oldest.
+  // The oldest connection if kMaxControlConnections are open, to be closed before one more is accepted; else
+  // nullopt.
   std::optional<ConnectionId> evictionCandidate() const;
   ConnectionId onAccepted(Micros now);
   void onClosed(ConnectionId id);
 
   std::vector<ConnectionId> overdue(Micros now) const { return deadlines_.overdue(now); }
-  Micros nextDeadline() const { return deadlines_.next(); }
+  Micros nextDeadline() const { return deadlines_.next(); }  // kNoDeadline: there is none
   std::size_t size() const { return connections_.size(); }
 
  private:
--- a/src/network/control_server.cpp
+++ b/src/network/control_server.cpp
@@ -21,6 +21,7 @@
 
 }  // namespace
 
+// One connection of an operator: reads a line, replies, and waits for the peer to close the connection.
 class ControlServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(ControlServer& server, tcp::socket socket, ConnectionId id)
@@ -44,7 +45,7 @@
     server_.sessions_.erase(id_);
   }
 
-  // Leaves the session in the server's table.
+  // Closes the socket, but leaves the session in the server's table.
   void closeSocket() {
     is_open_ = false;
     server_.admission_.onClosed(id_);
@@ -97,7 +98,8 @@
     discardInput();
   }
 
-  // Reads on until the peer closes: a close with unread input would discard the reply.
+  // Goes on reading until the peer closes the connection: closing a socket that has unread input resets the
+  // connection, and the peer would lose the reply.
   void discardInput() {
     socket_.async_read_some(asio::buffer(read_buffer_),
                             [self = shared_from_this()](error_code error, std::size_t) {
@@ -143,7 +145,7 @@
       return;
     }
     if (error && error != asio::error::connection_aborted) {
-      acceptLater();  // out of descriptors, for instance
+      scheduleAcceptRetry();  // the process may be out of descriptors
       return;
     }
     if (!error) {
@@ -153,7 +155,7 @@
   });
 }
 
-void ControlServer::acceptLater() {
+void ControlServer::scheduleAcceptRetry() {
   accept_timer_.expires_after(kAcceptRetryInterval);
   accept_timer_.async_wait([this](error_code cancelled) {
     if (!cancelled) {
--- a/src/network/control_server.h
+++ b/src/network/control_server.h
@@ -1,5 +1,6 @@
-// The server at the control address, for operators: one line a connection, answered by one line that begins
-// with OK or ERR. ControlAdmission decides how many connections there are, and for how long.
+// The server at the control address, for operators. Each connection carries one command line, which is
+// answered by one line that begins with OK or ERR. ControlAdmission decides how many connections there may be
+// and for how long.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,10 +17,11 @@
 
 class ControlServer {
  public:
-  // Returns the reply line. Both lines are without their ends.
+  // Executes a command line and returns the reply line. Both are without line ends.
   using OnCommand = std::function<std::string(const std::string& line)>;
 
-  // Throws boost::system::system_error when the address can't be listened on.
+  // Throws boost::system::system_error if listening at the address fails. `admission` must outlive this
+  // object.
   ControlServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
                 ControlAdmission& admission, OnCommand on_command);
   ~ControlServer();
@@ -30,7 +32,7 @@
   class Session;
 
   void accept();
-  void acceptLater();
+  void scheduleAcceptRetry();
   void onAccepted(boost::asio::ip::tcp::socket socket);
   void scheduleDeadlines();
   void closeOverdue();
--- a/src/network/descriptor_budget.cpp
+++ b/src/network/descriptor_budget.cpp
@@ -10,29 +10,30 @@
 
 namespace {
 
-// Descriptors of one process besides its connections: standard streams, event loop, signals, journal, lock,
-// handover links, listeners, discovery connections, and the control connections.
+// Descriptors of one process other than its connections to clients and endpoints: standard streams, event
+// loop, signals, journal, lock, handover links, listeners, discovery connections, and control connections.
 constexpr std::int64_t kOwnDescriptors = 20 + kMaxControlConnections;
-// While one process serves, its successor may be starting: it has no clients, journal or discovery yet.
+// Descriptors of a successor that may be starting while this process serves. It has no clients, journal or
+// discovery connections yet.
 constexpr std::int64_t kSuccessorDescriptors = 12 + kMaxControlConnections;
-constexpr std::int64_t kMinClients = 8;  // also the least that may be left for clients and idle connections
+constexpr std::int64_t kMinClients = 8;  // also the minimum for clients and idle connections together
 
-constexpr std::int64_t kIdleConnectionsDivisor = 4;  // a quarter of the capacity is for idle connections
-constexpr std::int64_t kOpenRequestsDivisor = 3;     // a third of all descriptors may be in open requests
-constexpr std::int64_t kPooledMemoryDivisor = 8;     // an eighth of the memory may hold buffered requests
+constexpr std::int64_t kIdleConnectionsDivisor = 4;  // a quarter of the shared capacity
+constexpr std::int64_t kOpenRequestsDivisor = 3;     // a third of all descriptors
+constexpr std::int64_t kPooledMemoryDivisor = 8;     // an eighth of the memory
 constexpr std::int64_t kBytesPerMegabyte = 1'000'000;
 
 std::int64_t megabytesRoundedUp(std::int64_t bytes) {
   return (bytes + kBytesPerMegabyte - 1) / kBytesPerMegabyte;
 }
 
-InvalidInput tooSmall(const std::string& setting, std::int64_t value, std::int64_t least) {
+InvalidInput tooSmall(const std::string& setting, std::int64_t value, std::int64_t minimum) {
   return InvalidInput(
       InputProblem::out_of_range, setting,
-      setting + " is too small: " + std::to_string(value) + " of at least " + std::to_string(least));
+      setting + " is too small: " + std::to_string(value) + " of at least " + std::to_string(minimum));
 }
 
-// What is left for clients and idle connections to endpoints.
+// The descriptors that are left for clients and for idle connections to endpoints.
 std::int64_t sharedCapacity(const ProcessLimits& limits) {
   const std::int64_t reserved = kOwnDescriptors + kSuccessorDescriptors + limits.call_slots;
   const std::int64_t capacity = limits.sockets - reserved;
@@ -42,6 +43,7 @@
   return capacity;
 }
 
+// The size of the pool for buffered requests; it holds at least one request of maximum length.
 std::size_t bufferPoolBytes(const ProcessLimits& limits) {
   const auto bytes =
       static_cast<std::size_t>(std::max<std::int64_t>(0, limits.memory_bytes / kPooledMemoryDivisor));
@@ -54,21 +56,24 @@
 
 }  // namespace
 
-DescriptorBudget computeDescriptorBudget(const ProcessLimits& limits, bool shares_with_older) {
+DescriptorBudget computeDescriptorBudget(const ProcessLimits& limits, bool shares_with_predecessor) {
   const std::int64_t capacity = sharedCapacity(limits);
   DescriptorBudget budget;
   budget.max_pooled_bytes = bufferPoolBytes(limits);
-  // Idle connections have a part of their own, which a crowd of clients can't fill.
+  // Idle connections have a share of their own, so that many clients can't use up all descriptors.
   budget.max_idle_connections = capacity / kIdleConnectionsDivisor;
   budget.max_endpoint_connections = limits.call_slots + budget.max_idle_connections;
-  // The older process takes the place of the successor that may start, with calls in flight.
-  const std::int64_t older_process =
-      shares_with_older ? kOwnDescriptors - kSuccessorDescriptors + limits.call_slots : 0;
-  budget.max_clients = std::max(kMinClients, capacity - budget.max_idle_connections - older_process);
+  // The predecessor uses the descriptors that are reserved for a successor. It needs more, as it has calls in
+  // flight.
+  const std::int64_t predecessor_descriptors =
+      shares_with_predecessor ? kOwnDescriptors - kSuccessorDescriptors + limits.call_slots : 0;
+  budget.max_clients =
+      std::max(kMinClients, capacity - budget.max_idle_connections - predecessor_descriptors);
   budget.max_open_requests =
       std::max<std::int64_t>(1, std::min(budget.max_clients, limits.sockets / kOpenRequestsDivisor));
-  // As many as the module sends: a call that queues for a connection might be sent after the destination's
-  // deduplication window has ended, which the module checks when it decides.
+  // As many as the decision module may send, so that no call is queued for this limit: a queued call might be
+  // sent after the end of the destination's deduplication window, which the module checks when it decides to
+  // send.
   budget.max_handshakes_per_endpoint = limits.call_slots;
   return budget;
 }
--- a/src/network/listener.cpp
+++ b/src/network/listener.cpp
@@ -14,7 +14,7 @@
 
 [[noreturn]] void throwError(int error_number) {
   using namespace boost::system;
-  throw system_error(error_code(error_number, system_category()), "the passed socket");
+  throw system_error(error_code(error_number, system_category()), "inherited listening socket");
 }
 
 void throwIfFailed(int result) {
@@ -30,7 +30,7 @@
   return value;
 }
 
-// AF_INET or AF_INET6; throws for all else.
+// Returns AF_INET or AF_INET6; throws if the socket is not a TCP socket.
 int tcpFamily(int descriptor) {
   const int type = socketOption(descriptor, SO_TYPE);
   sockaddr_storage address{};
@@ -43,7 +43,7 @@
   return address.ss_family;
 }
 
-// The platform may have bound the socket without listening on it.
+// Listens on the socket if the platform has bound it without listening.
 void ensureListening(int descriptor) {
   if (socketOption(descriptor, SO_ACCEPTCONN) == 0) {
     throwIfFailed(::listen(descriptor, SOMAXCONN));
--- a/src/network/listener.h
+++ b/src/network/listener.h
@@ -1,4 +1,4 @@
-// Listening sockets: opened at an address, or inherited from the platform.
+// Creates the listening sockets of a process: opened at an address, or inherited from the platform.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -6,12 +6,13 @@
 
 namespace delivery {
 
-// Throws boost::system::system_error when the address can't be listened on.
+// Throws boost::system::system_error if listening at the address fails.
 boost::asio::ip::tcp::acceptor listenAt(boost::asio::io_context& io,
                                         const boost::asio::ip::tcp::endpoint& address);
 
-// A listening socket that this process inherited. Works on a duplicate: the descriptor itself stays open
-// after the acceptor is closed. Throws boost::system::system_error when it is no TCP socket.
+// Listens on a socket that this process inherited. The acceptor owns a duplicate of the descriptor, so the
+// descriptor itself stays open after the acceptor is closed. Throws boost::system::system_error if it is not
+// a TCP socket.
 boost::asio::ip::tcp::acceptor listenOnInherited(boost::asio::io_context& io, int descriptor);
 
 }  // namespace delivery
--- a/src/network/socket_address.cpp
+++ b/src/network/socket_address.cpp
@@ -44,7 +44,7 @@
       return {ip, *port};
     }
   }
-  throw std::invalid_argument("not an address with a port: " + address);
+  throw std::invalid_argument("not an IP address and port: " + address);
 }
 
 }  // namespace delivery
--- a/src/network/socket_address.h
+++ b/src/network/socket_address.h
@@ -1,4 +1,4 @@
-// Reads the socket addresses that configuration and discovery name.
+// Parses the socket addresses in the configuration and in discovery's endpoint list.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -6,7 +6,8 @@
 
 namespace delivery {
 
-// "10.0.0.4:6379" or "[::1]:6379"; names are not looked up. Throws std::invalid_argument.
+// Parses "10.0.0.4:6379" or "[::1]:6379". Host names are not accepted. Throws std::invalid_argument if the
+// address is malformed.
 boost::asio::ip::tcp::endpoint parseAddress(const std::string& address);
 
 }  // namespace delivery
--- a/tests/network/control_admission_test.cpp
+++ b/tests/network/control_admission_test.cpp
@@ -1,4 +1,4 @@
-// Admission at the control address, on made-up time.
+// Tests of the admission control for the control address, with simulated time.
 #include "network/control_admission.h"
 
 #include <gtest/gtest.h>
@@ -11,18 +11,18 @@
 namespace delivery {
 namespace {
 
-TEST(ControlAdmission, TheOldestConnectionIsEvictedWhenAllPlacesAreTaken) {
+TEST(ControlAdmission, TheOldestConnectionIsEvictedAtTheLimit) {
   ConnectionAdmission connections(smallBudget(1));
-  std::vector<ConnectionId> all;
-  for (Micros at = 0; at < kMaxControlConnections; ++at) {
+  std::vector<ConnectionId> ids;
+  for (Micros now = 0; now < kMaxControlConnections; ++now) {
     EXPECT_FALSE(connections.control.evictionCandidate());
-    all.push_back(connections.control.onAccepted(at));
+    ids.push_back(connections.control.onAccepted(now));
   }
-  EXPECT_EQ(all[0], *connections.control.evictionCandidate());
-  connections.control.onClosed(all[0]);
+  EXPECT_EQ(ids[0], *connections.control.evictionCandidate());
+  connections.control.onClosed(ids[0]);
   EXPECT_FALSE(connections.control.evictionCandidate());
-  EXPECT_EQ(std::vector<ConnectionId>{all[1]}, connections.control.overdue(2 * kSecond + 1));
-  EXPECT_TRUE(connections.clients.hasCapacity()) << "control connections take nothing from clients";
+  EXPECT_EQ(std::vector<ConnectionId>{ids[1]}, connections.control.overdue(2 * kSecond + 1));
+  EXPECT_TRUE(connections.clients.hasCapacity()) << "control connections must not use the budget of clients";
 }
 
 }  // namespace
--- a/tests/network/socket_address_test.cpp
+++ b/tests/network/socket_address_test.cpp
@@ -1,4 +1,4 @@
-// Socket addresses as configuration and discovery name them.
+// Tests of parsing the socket addresses in the configuration and in discovery's endpoint list.
 #include "network/socket_address.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace delivery {
 namespace {
 
-TEST(SocketAddress, NumericAddressesWithAPortAreRead) {
+TEST(SocketAddress, ParsesNumericAddressesWithAPort) {
   const auto v4 = parseAddress("10.0.0.4:6379");
   EXPECT_EQ("10.0.0.4", v4.address().to_string());
   EXPECT_EQ(6379, v4.port());
@@ -17,7 +17,7 @@
   EXPECT_EQ(65535, v6.port());
 }
 
-TEST(SocketAddress, AllElseIsRejected) {
+TEST(SocketAddress, RejectsAnythingElse) {
   for (const char* address : {"", "10.0.0.4", "10.0.0.4:", ":6379", "10.0.0.4:65536", "10.0.0.4:123456",
                               "10.0.0.4:-1", "10.0.0.4:6x", "localhost:6379", "[]:6379"}) {
     EXPECT_THROW(parseAddress(address), std::invalid_argument) << address;
--- a/tests/support/listener.h
+++ b/tests/support/listener.h
@@ -1,4 +1,4 @@
-// Listening sockets on ephemeral loopback ports.
+// Listening sockets and reserved ports on the loopback interface. All ports are ephemeral.
 #pragma once
 
 #include <arpa/inet.h>
@@ -21,13 +21,13 @@
   return address;
 }
 
-// A port that is bound, but not listened on, for as long as this lives: no other test is given it,
-// connections to it are refused, and a program that binds it with SO_REUSEADDR may listen on it.
+// Reserves a port for the lifetime of the object. The port is bound but not listened on, so no other test
+// gets it, connections to it are refused, and a program that binds it with SO_REUSEADDR can listen on it.
 class ReservedPort {
  public:
   ReservedPort() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    const int on = 1;
-    EXPECT_EQ(0, ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on));
+    const int enabled = 1;
+    EXPECT_EQ(0, ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled));
     sockaddr_in address = loopbackAddress(0);
     EXPECT_EQ(0, ::bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address));
     socklen_t size = sizeof address;
@@ -45,7 +45,7 @@
   int port_ = 0;
 };
 
-// Listens and accepts nothing itself.
+// A listening socket. It accepts no connections itself: the test does that on `fd`.
 struct Listener {
   Listener() {
     fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -72,7 +72,7 @@
   int port = 0;
 };
 
-// Its backlog is full: no connection to it comes up.
+// A listener whose backlog is full, so that no further connection to it is established.
 class FullBacklogListener {
  public:
   FullBacklogListener() {
@@ -80,7 +80,7 @@
     for (int i = 0; i < kConnectionsThatFillTheBacklog; ++i) {
       fds_.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
       const sockaddr_in address = loopbackAddress(listener_.port);
-      // Neither success nor failure is of interest: it only has to fill the backlog.
+      // The result does not matter: the connection only has to fill the backlog.
       (void)::connect(fds_.back(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
     }
   }
@@ -101,7 +101,7 @@
   std::vector<int> fds_;
 };
 
-// An address that nothing listens at.
+// Returns an address where nothing listens, so that connections are refused.
 inline std::string closedAddress() {
   return Listener().address();
 }
--- a/tests/support/loopback.h
+++ b/tests/support/loopback.h
@@ -1,5 +1,5 @@
-// All helpers of the tests over loopback sockets: scripted HTTP servers, discovery, clients and the real
-// program as a child process. Each has a header of its own beside this one. All ports are ephemeral.
+// Includes all helpers for tests over loopback sockets: scripted HTTP servers, a discovery server, clients,
+// and the real program as a child process. Each has its own header in this folder. All ports are ephemeral.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/tests/support/wait.h
+++ b/tests/support/wait.h
@@ -1,4 +1,5 @@
-// Waiting in tests: on events, with generous limits, so that a busy machine fails no test.
+// Waiting in tests: for events and conditions, with a long time limit, so that no test fails because the
+// machine is busy.
 #pragma once
 
 #include <chrono>
@@ -7,17 +8,17 @@
 
 namespace delivery::loopback {
 
-constexpr std::chrono::seconds kWaitLimit{60};  // a wait that takes this long has failed
+constexpr std::chrono::seconds kWaitLimit{60};  // a wait that lasts this long has failed
 
-// Waits for a condition that has no event of its own. False: it did not come to hold within the limit.
-inline bool eventually(const std::function<bool()>& holds) {
-  constexpr std::chrono::milliseconds kInterval{5};
+// Polls a condition that has no event of its own. Returns false if it is not true within the limit.
+inline bool eventually(const std::function<bool()>& condition) {
+  constexpr std::chrono::milliseconds kPollInterval{5};
   const auto deadline = std::chrono::steady_clock::now() + kWaitLimit;
-  while (!holds()) {
+  while (!condition()) {
     if (std::chrono::steady_clock::now() > deadline) {
       return false;
     }
-    std::this_thread::sleep_for(kInterval);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return true;
 }
