--- a/src/network/client_admission.h
+++ b/src/network/client_admission.h
@@ -38,7 +38,8 @@
 
   // Events of a connection, in the order in which they happen. `peer_address` is the client's IP address.
   ConnectionId onAccepted(const std::string& peer_address, Micros now);
-  // How many bytes may be read from the connection now. 0: none until nextResumedReader() returns it.
+  // How many bytes may be read from the connection now. 0: the buffer pool is used up, and nothing may be
+  // read until nextResumedReader() returns the connection.
   std::size_t readAllowance(ConnectionId id);
   void onBytesReceived(ConnectionId id, std::size_t bytes, Micros now);
   // The buffered bytes are the beginning of a request.
@@ -48,13 +49,13 @@
   // `has_submitted`: the request was a well-formed message, and the reply is no error of the client's.
   void onReplyStarted(ConnectionId id, bool has_submitted, Micros now);
   AfterReply onReplyWritten(ConnectionId id, bool has_more_input, Micros now);
-  // Stops buffering input. The connection stays open until its error reply is sent or its deadline has
-  // passed.
+  // The request violates the protocol. Input of the connection is discarded from now on, until the peer
+  // closes it or the deadline for the error reply has passed.
   void onRequestMalformed(ConnectionId id, Micros now);
   void onClosed(ConnectionId id);
 
-  // The connection that may continue now, first in first out, or nullopt if none waits or the budget is used
-  // up.
+  // The queued request or stalled reader that may continue now, first in first out. Nullopt if none waits or
+  // the budget is used up.
   std::optional<ConnectionId> nextQueuedRequest();
   std::optional<ConnectionId> nextResumedReader();
   bool hasStalledReaders() const { return !stalled_readers_.empty(); }
--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -117,6 +117,7 @@
     parseInput();
   }
 
+  // Counts input that arrived after a malformed request.
   void discard(std::size_t count) {
     discarded_bytes_ += count;
     if (discarded_bytes_ >= kMaxDiscardedBytes) {
--- a/src/network/completion_notifier.h
+++ b/src/network/completion_notifier.h
@@ -20,6 +20,7 @@
 
   CompletionNotifier(DiscoveryClient client, OnAcknowledged on_acknowledged);
 
+  // Adds a notice, and sends it at once if no request is in flight and no retry is scheduled.
   void enqueue(const std::string& message_id, const CompletionNotice& notice);
   // Sends the notices that are in flight again, to the new server.
   void changeServer(tcp::endpoint server, std::string host);
--- a/src/network/control_server.cpp
+++ b/src/network/control_server.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxLineBytes = 64;
+constexpr std::size_t kMaxLineBytes = 64;  // without the newline
 constexpr std::chrono::milliseconds kAcceptRetryInterval{20};
 
 }  // namespace
