--- a/src/network/client_server.h
+++ b/src/network/client_server.h
@@ -15,7 +15,7 @@
 #include "network/client_admission.h"
 #include "network/queue_age.h"
 #include "protocol/submit_reply.h"
-#include "storage/accepted_message.h"
+#include "storage/submitted_message.h"
 
 namespace delivery {
 
@@ -24,7 +24,7 @@
   // Sends the reply to the client. It must be called exactly once.
   using ReplyCallback = std::function<void(const SubmitReply&)>;
   // Called when a client submits a message. The receiver calls the reply callback now or later.
-  using OnSubmit = std::function<void(AcceptedMessage, ReplyCallback)>;
+  using OnSubmit = std::function<void(SubmittedMessage, ReplyCallback)>;
 
   // Accepts connections from `acceptor` at once. `admission` must outlive this object.
   ClientServer(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor acceptor,
--- a/src/network/endpoint_pool.h
+++ b/src/network/endpoint_pool.h
@@ -18,7 +18,7 @@
 #include "common/events.h"
 #include "network/endpoint_connection_accounting.h"
 #include "network/http_connection.h"
-#include "storage/accepted_message.h"
+#include "storage/submitted_message.h"
 
 namespace delivery {
 
@@ -46,7 +46,8 @@
   std::vector<std::string> knownEndpoints() const;
   // Starts a call, or queues it until a connection is available. The call ends at `deadline` at the latest;
   // connecting counts towards that.
-  void startCall(const AcceptedMessage& message, int attempt, const std::string& endpoint, Deadline deadline);
+  void startCall(const SubmittedMessage& message, int attempt, const std::string& endpoint,
+                 Deadline deadline);
   // Ends a call now. A response that has already arrived still counts. Returns false if this pool has no such
   // call.
   bool cancel(const CallId& id);
@@ -78,7 +79,7 @@
   // The state in which the accounting counts a call's connection.
   enum class ConnectionState { none, opening, in_use };
   struct Call {
-    AcceptedMessage message;
+    SubmittedMessage message;
     std::string endpoint;
     std::string address;  // of the endpoint when the connection was selected
     Micros started_at = 0;
--- a/tests/network/client_server_test.cpp
+++ b/tests/network/client_server_test.cpp
@@ -25,7 +25,7 @@
     port = acceptor.local_endpoint().port();
     server = std::make_unique<ClientServer>(
         io, std::move(acceptor), admission,
-        [this](AcceptedMessage message, const ClientServer::ReplyCallback& reply) {
+        [this](SubmittedMessage message, const ClientServer::ReplyCallback& reply) {
           submitted = std::move(message);
           reply({SubmitStatus::accepted});
         });
@@ -45,12 +45,12 @@
   boost::asio::io_context io;
   ClientAdmission admission;
   int port = 0;
-  std::optional<AcceptedMessage> submitted;
+  std::optional<SubmittedMessage> submitted;
   std::unique_ptr<ClientServer> server;
 };
 
 const std::string kSubmitRequest =
-    loopback::SenderClient::request({"MSG.PUT", "0", "m", "c=order,d=8000,dest=7", "x"});
+    loopback::SenderClient::encodeRequest({"MSG.PUT", "0", "m", "c=order,d=8000,dest=7", "x"});
 
 // The table is full, so a connection and its request wait in the kernel's accept queue. The message's time to
 // live must count from when the client sent it, not from when it is read.
@@ -86,7 +86,7 @@
   test.runUntil([&] { return test.submitted || test.server->connectionCount() == 0; });
   EXPECT_TRUE(test.submitted) << "the connection was closed with its request unread";
   test.runUntil([&] { return test.admission.nextDeadline() > deadline + 30'000 * kMs; });
-  EXPECT_EQ("+OK", client.line());
+  EXPECT_EQ("+OK", client.readLine());
 }
 
 // A drain starts while a complete request is in the socket. The request must be answered before the
@@ -100,8 +100,8 @@
   test.server->startDraining();
   test.runUntil([&] { return test.server->connectionCount() == 0; });
   EXPECT_TRUE(test.submitted);
-  EXPECT_EQ("+OK", client.line());
-  EXPECT_TRUE(client.ended());
+  EXPECT_EQ("+OK", client.readLine());
+  EXPECT_TRUE(client.hasNoMoreLines());
 }
 
 // The table is full, and the eviction candidate has just sent a complete request. It must not be closed to
@@ -139,7 +139,7 @@
   test.runUntil([&] { return test.server->connectionCount() == 1; });
   test.runUntil([&] { return test.submitted || test.server->connectionCount() == 0; });
   EXPECT_TRUE(test.submitted) << "the connection was closed with its request unread";
-  EXPECT_TRUE(other.ended());
+  EXPECT_TRUE(other.hasNoMoreLines());
 }
 
 // A client sends two requests in one write, and a drain starts before the reply to the first. Both requests
@@ -152,9 +152,9 @@
   test.runUntil([&] { return test.submitted.has_value(); });  // its reply is being written
   test.server->startDraining();
   test.runUntil([&] { return test.server->connectionCount() == 0; });
-  EXPECT_EQ("+OK", client.line());
-  EXPECT_EQ("+OK", client.line());
-  EXPECT_TRUE(client.ended());
+  EXPECT_EQ("+OK", client.readLine());
+  EXPECT_EQ("+OK", client.readLine());
+  EXPECT_TRUE(client.hasNoMoreLines());
 }
 
 }  // namespace
--- a/tests/network/connection_limits_test.cpp
+++ b/tests/network/connection_limits_test.cpp
@@ -39,8 +39,8 @@
   void run() {
     while (!stop_) {
       for (auto& client : clients_) {
-        client->send(SenderClient::request({"PING"}));
-        client->discard();
+        client->send(SenderClient::encodeRequest({"PING"}));
+        client->discardReceived();
       }
       std::this_thread::sleep_for(20ms);
     }
@@ -69,7 +69,7 @@
   auto many = connectMany(setup.program.port(), 740, "127.0.0.2");
   for (std::size_t i = 0; i < many.size(); ++i) {
     many[i]->send(
-        SenderClient::request({"MSG.PUT", "0", "x" + std::to_string(i), "c=order,d=5000,dest=7", "x"}));
+        SenderClient::encodeRequest({"MSG.PUT", "0", "x" + std::to_string(i), "c=order,d=5000,dest=7", "x"}));
   }
   SenderClient late_client(setup.program.port());
   EXPECT_NE("", late_client.submit("second", "order",
@@ -86,9 +86,9 @@
   std::thread sender([&] {
     std::string pings;
     for (int i = 0; i < 1000; ++i) {
-      pings += SenderClient::request({"PING"});
+      pings += SenderClient::encodeRequest({"PING"});
     }
-    while (!stop && client_without_reads.sendSome(pings)) {
+    while (!stop && client_without_reads.trySend(pings)) {
     }
     stop = true;
   });
@@ -106,11 +106,11 @@
   const std::string piece(1'000'000, 'x');
   peer.send("*1\r\n$60000000\r\n");
   for (int i = 0; i < 60; ++i) {
-    if (!peer.sendSome(piece)) {
+    if (!peer.trySend(piece)) {
       break;
     }
   }
-  EXPECT_TRUE(peer.closed());
+  EXPECT_TRUE(peer.waitForClose());
   SenderClient client(setup.program.port());
   EXPECT_EQ("+OK", client.submit("fine", "order", 7));
 }
@@ -129,7 +129,7 @@
   SenderClient first(program.port());
   ASSERT_EQ("+OK", first.submit("first", "order", 7));
   ASSERT_TRUE(endpoint.waitForRequests(1));
-  program.limitDescriptors(program.openDescriptors() + 20);
+  program.limitDescriptors(program.openDescriptorCount() + 20);
   const PingingClients pinging_clients(program.port(), 60);
   SenderClient late_client(program.port());
   EXPECT_EQ("+OK", late_client.submit("second", "order", 7));
@@ -152,14 +152,14 @@
     ASSERT_EQ("+OK", clients.back()->submit("m" + std::to_string(i), "order", 7));
     ASSERT_TRUE(setup.endpoint.waitForRequests(static_cast<std::size_t>(i) + 1));
   }
-  EXPECT_GT(setup.program.openDescriptors(), 300u);
+  EXPECT_GT(setup.program.openDescriptorCount(), 300u);
   setup.program.reloadLimits(limitsWithSockets(10));
   setup.program.reloadLimits({{"sockets", "many"}});
   setup.program.reloadLimits(limitsWithSockets(200));
-  EXPECT_TRUE(eventually([&] { return setup.program.openDescriptors() < 150; }));
+  EXPECT_TRUE(eventually([&] { return setup.program.openDescriptorCount() < 150; }));
   SenderClient client(setup.program.port());
   EXPECT_EQ("+OK", client.submit("fine", "order", 7));
-  EXPECT_EQ("OK ready", setup.program.command("READY"));
+  EXPECT_EQ("OK ready", setup.program.sendCommand("READY"));
 }
 
 TEST(ConnectionLimits, LimitsBelowTheReservedDescriptorsPreventTheStart) {
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -31,8 +31,8 @@
     budget.max_handshakes_per_endpoint = 2;
     return budget;
   }
-  AcceptedMessage message(const std::string& id) {
-    AcceptedMessage message;
+  SubmittedMessage message(const std::string& id) {
+    SubmittedMessage message;
     message.id = id;
     message.idempotency_key = "5c0f6e1a2b3d4c59";
     message.body = std::string("any\0bytes\r\n", 11);
@@ -474,7 +474,7 @@
   pool.endpoints.startCall(pool.message("second"), 0, "e", deadlineIn(60'000'000));
   pool.endpoints.onEndpointDraining("e");
   EXPECT_EQ(AttemptResult::not_sent, pool.waitFor(2).result);
-  EXPECT_TRUE(loopback::eventually([&] { return server.closedByPeer() == 1; }));
+  EXPECT_TRUE(loopback::eventually([&] { return server.connectionsClosedByPeer() == 1; }));
   EXPECT_EQ(1u, server.requests().size());
 }
 
@@ -484,7 +484,7 @@
   loopback::Listener unread;
   TestPool pool;
   pool.endpoints.setEndpoint("e", unread.address());
-  AcceptedMessage message = pool.message("m");
+  SubmittedMessage message = pool.message("m");
   message.body.assign(64u << 20, 'x');  // more than a socket's buffers hold
   pool.endpoints.startCall(message, 0, "e", deadlineIn(60'000'000));
   const int fd = ::accept4(unread.fd, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
