--- a/tests/network/connection_limits_test.cpp
+++ b/tests/network/connection_limits_test.cpp
@@ -72,8 +72,8 @@
         SenderClient::encodeRequest({"MSG.PUT", "0", "x" + std::to_string(i), "c=order,d=5000,dest=7", "x"}));
   }
   SenderClient late_client(setup.program.port());
-  EXPECT_NE("", late_client.submit("second", "order",
-                                   7));  // any reply: the message may be rejected if the sender is full
+  // Any reply will do: the message may be rejected if the sender is full.
+  EXPECT_NE("", late_client.submit("second", "order", 7));
   EXPECT_NE("", idle_client.submit("third", "order", 7));
 }
 
--- a/tests/network/endpoint_pool_test.cpp
+++ b/tests/network/endpoint_pool_test.cpp
@@ -268,8 +268,8 @@
             ::send(fd, ok_response.data(), ok_response.size(), MSG_NOSIGNAL));
   EXPECT_EQ(AttemptResult::ok, pool.waitFor(1).result);
   EXPECT_EQ(1u, pool.endpoints.idleCount());
-  pool.endpoints.startCall(pool.message("second"), 0, "e",
-                           deadlineIn(60'000'000));  // selected; written in the next iteration
+  // A connection is selected now; the call will be written in the next iteration of the event loop.
+  pool.endpoints.startCall(pool.message("second"), 0, "e", deadlineIn(60'000'000));
   EXPECT_EQ(0u, pool.endpoints.idleCount());
   ::close(fd);  // on loopback the end arrives at once
   ::fcntl(endpoint.fd, F_SETFL, O_NONBLOCK);
