--- a/tests/storage/record_scanner_test.cpp
+++ b/tests/storage/record_scanner_test.cpp
@@ -1,4 +1,4 @@
-// Finding records among damage: ranges, gaps, torn writes and duplicates.
+// The scan of a journal file for its valid records: damaged ranges, torn writes and duplicates.
 #include "storage/record_scanner.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 const std::string kSecond = frameRecord(2, "second");
 const std::string kThird = frameRecord(3, "third");
 
-TEST(RecordScanner, FindsTheRecordsOfASoundFile) {
+TEST(RecordScanner, FindsAllRecordsOfAnIntactFile) {
   const std::string data = kFirst + kSecond;
   const ScanResult scan = scanRecords(data);
   ASSERT_EQ(2u, scan.records.size());
@@ -22,13 +22,13 @@
   EXPECT_EQ("second", scan.records[1].payload);
   EXPECT_EQ(2u, scan.records[1].sequence_number);
   EXPECT_TRUE(scan.damaged_ranges.empty());
-  EXPECT_EQ(data.size(), scan.sound_end);
+  EXPECT_EQ(data.size(), scan.valid_end);
   EXPECT_FALSE(scan.torn_write || scan.damaged_tail);
 }
 
-TEST(RecordScanner, NamesTheRangeOfADamagedRecord) {
+TEST(RecordScanner, ReportsTheByteRangeOfADamagedRecord) {
   std::string data = kFirst + kSecond + kThird;
-  data[kFirst.size() + kFrameHeadBytes] ^= 1;
+  data[kFirst.size() + kFrameHeaderBytes] ^= 1;
   const ScanResult scan = scanRecords(data);
   ASSERT_EQ(2u, scan.records.size());
   EXPECT_EQ("third", scan.records[1].payload);
@@ -38,13 +38,13 @@
   EXPECT_FALSE(scan.torn_write || scan.damaged_tail);
 }
 
-TEST(RecordScanner, TellsATornWriteFromADamagedTail) {
+TEST(RecordScanner, DistinguishesATornWriteFromADamagedTail) {
   const std::string torn = kFirst + kSecond.substr(0, kSecond.size() - 1);
   const ScanResult torn_scan = scanRecords(torn);
   EXPECT_TRUE(torn_scan.torn_write);
   EXPECT_FALSE(torn_scan.damaged_tail);
   EXPECT_TRUE(torn_scan.damaged_ranges.empty());
-  EXPECT_EQ(kFirst.size(), torn_scan.sound_end);
+  EXPECT_EQ(kFirst.size(), torn_scan.valid_end);
 
   std::string damaged = kFirst + kSecond;
   damaged.back() ^= 1;
