--- a/src/network/client_admission.h
+++ b/src/network/client_admission.h
@@ -46,7 +46,7 @@
   void onRequestPartial(ConnectionId id, Micros now);
   RequestAdmission onRequestComplete(ConnectionId id, Micros now);
   void onRequestConsumed(ConnectionId id, std::size_t bytes_left_in_buffer);
-  // `has_submitted`: the request was a well-formed message, and the reply is no error of the client's.
+  // `has_submitted`: the request submitted a message that was accepted or rejected as busy, not in error.
   void onReplyStarted(ConnectionId id, bool has_submitted, Micros now);
   AfterReply onReplyWritten(ConnectionId id, bool has_more_input, Micros now);
   // The request violates the protocol. Input of the connection is discarded from now on, until the peer
--- a/src/network/client_connection.h
+++ b/src/network/client_connection.h
@@ -11,7 +11,7 @@
 //                                                                 peer has more connections), else 20 ms
 //     discarding_input        1 s                                 500 ms
 //
-// A connection "has submitted" once it has sent a well-formed message.
+// A connection "has submitted" once a message from it was accepted or rejected as busy.
 #pragma once
 
 #include <cstddef>
@@ -42,7 +42,7 @@
   PeerUsage* peer = nullptr;    // points into ClientTable::peers
   Micros last_activity_at = 0;  // when bytes last arrived or a reply was last written
   std::size_t buffered_bytes = 0;
-  bool has_submitted = false;       // it has sent a well-formed message
+  bool has_submitted = false;       // a message was accepted or rejected as busy
   bool has_been_answered = false;   // it got a reply to any request
   bool has_open_request = false;    // a request is being processed; false in awaiting_reply: it is queued
   bool is_stalled = false;          // it is not read from because the buffer pool is used up
