--- a/src/common/call_id.h
+++ b/src/common/call_id.h
@@ -1,4 +1,4 @@
-// Identifies one attempt to deliver a message, across the processes of a sender.
+// The identifier of one attempt to deliver a message. It is valid across the processes of a sender.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 struct CallId {
   std::string message_id;
-  int attempt = 0;  // counts from 0 for each message
+  int attempt = 0;  // number of the attempt, counted from 0 for each message
 
   friend bool operator==(const CallId& a, const CallId& b) {
     return a.message_id == b.message_id && a.attempt == b.attempt;
--- a/src/common/clocks.h
+++ b/src/common/clocks.h
@@ -1,4 +1,5 @@
-// The machine's clocks, and the conversion of points in time between the monotonic clock and stored records.
+// The clocks of the machine, and the conversion between points in time on the monotonic clock and in stored
+// records.
 #pragma once
 
 #include <string>
@@ -7,29 +8,31 @@
 
 namespace delivery {
 
-// A clock that never steps and goes on across processes until the machine reboots.
+// The monotonic clock in microseconds. It never steps, and all processes read the same clock until the
+// machine reboots.
 Micros monotonicNow();
-// Unix time: it goes on across reboots, and may step when the machine's clock is set.
+
+// The Unix time in microseconds. It continues across reboots, and may step when the machine's clock is set.
 Micros unixNow();
 
-// All clocks at one moment.
+// The readings of all clocks at one moment.
 struct ClockReadings {
   Micros monotonic = 0;
   Micros unix = 0;
-  std::string boot;  // identifies the time since the last reboot; empty if it is not known
+  std::string boot;  // the kernel's boot id, which changes with each reboot; empty if unknown
 };
 
 ClockReadings readClocks();
 
-// Converts points on the monotonic clock to the form in which they are stored, and back. A stored point is
-// the monotonic one plus a shift, which is fixed when the first process after a reboot writes the journal:
-// stored points were Unix time at that moment. The shift is stored with them and used until the next reboot,
-// so that setting the machine's clock changes no deadline.
+// Converts points in time on the monotonic clock to stored points in time, and back. A stored point is the
+// monotonic one plus a shift. The first process that writes the journal after a reboot chooses the shift so
+// that stored points equal the Unix time at that moment. The shift is stored in the journal and used until
+// the next reboot, so that setting the machine's clock does not change any deadline.
 class PersistentClock {
  public:
   PersistentClock() = default;
   explicit PersistentClock(Micros shift) : shift_(shift) {}
-  // For a journal whose stored points are Unix time as of `now`.
+  // Returns the clock whose stored points equal the Unix time at the moment `now`.
   static PersistentClock startingNow(const ClockReadings& now) {
     return PersistentClock(now.unix - now.monotonic);
   }
--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr char kLastControlCharacter = 0x1f;
-constexpr char kDelete = 0x7f;
+constexpr char kDeleteCharacter = 0x7f;
 
 std::string_view nameOf(LogLevel level) {
   switch (level) {
@@ -21,10 +21,10 @@
 }
 
 bool isControlCharacter(char c) {
-  return (c >= 0 && c <= kLastControlCharacter) || c == kDelete;
+  return (c >= 0 && c <= kLastControlCharacter) || c == kDeleteCharacter;
 }
 
-bool needsQuotes(std::string_view value) {
+bool needsQuoting(std::string_view value) {
   if (value.empty()) {
     return true;
   }
@@ -36,16 +36,16 @@
   return false;
 }
 
-// Control characters become blanks: a value must not end its line, nor write to a terminal.
+// Replaces control characters by spaces, so that a value can't end the log line or control a terminal.
 std::string quoted(std::string_view value) {
-  std::string out = "\"";
+  std::string result = "\"";
   for (const char c : value) {
     if (c == '"' || c == '\\') {
-      out += '\\';
+      result += '\\';
     }
-    out += isControlCharacter(c) ? ' ' : c;
+    result += isControlCharacter(c) ? ' ' : c;
   }
-  return out + '"';
+  return result + '"';
 }
 
 }  // namespace
@@ -66,7 +66,7 @@
   }
   text_ += name;
   text_ += '=';
-  text_ += needsQuotes(value) ? quoted(value) : std::string(value);
+  text_ += needsQuoting(value) ? quoted(value) : std::string(value);
   return *this;
 }
 
--- a/src/common/log.h
+++ b/src/common/log.h
@@ -1,5 +1,5 @@
-// Log lines on standard error, one format for all: level, component, event and named fields, as key=value
-// pairs.
+// Writes log lines to standard error. All lines have the same format: level, component, event and named
+// fields as key=value pairs.
 //
 //     level=info component=journal event=recovered messages=17 summary="212 records in 40960 bytes"
 #pragma once
@@ -13,7 +13,8 @@
 
 enum class LogLevel { info, warning, error };
 
-// One line. It is written when the object ends, in one piece, so that a statement reads as one event:
+// One log line. The destructor writes the whole line with a single call, so that one statement logs one
+// event:
 //
 //     logInfo("handover", "released").field("calls_in_flight", calls.size());
 class LogLine {
@@ -23,7 +24,8 @@
   LogLine(const LogLine&) = delete;
   LogLine& operator=(const LogLine&) = delete;
 
-  // A value with blanks, quotes or control characters is quoted and escaped.
+  // Appends a field. A value that is empty or contains a space, a quote, an equals sign, a backslash or a
+  // control character is quoted and escaped.
   LogLine& field(std::string_view name, std::string_view value);
 
   template <class Integer, std::enable_if_t<std::is_integral_v<Integer>, int> = 0>
