--- a/src/programs/journal_inspect.cpp
+++ b/src/programs/journal_inspect.cpp
@@ -1,5 +1,5 @@
-// Prints what a sender's journal holds and whether it is damaged. It only reads, also beside a running
-// sender.
+// Prints the content of a sender's journal and whether it is damaged. The program only reads, so it can run
+// while a sender uses the journal.
 #include <filesystem>
 #include <fstream>
 #include <iostream>
@@ -18,7 +18,7 @@
 using delivery::ReplayResult;
 
 enum class ExitCode {
-  sound = 0,
+  intact = 0,
   damaged = 1,
   unreadable_or_usage = 2,
 };
@@ -54,7 +54,7 @@
 
 struct EntryCounts {
   std::size_t open = 0;
-  std::size_t may_have_run = 0;  // of the open ones
+  std::size_t may_have_run = 0;  // open messages with an attempt that may have run
   std::size_t pending_notices = 0;
 };
 
@@ -118,8 +118,8 @@
   printSummary(journal, data->size(), counts);
   printDamage(journal);
   printQuarantine(folder);
-  const bool sound = !journal.damaged() && journal.scan.duplicate_records == 0;
-  return sound ? ExitCode::sound : ExitCode::damaged;
+  const bool is_intact = !journal.damaged() && journal.scan.duplicate_records == 0;
+  return is_intact ? ExitCode::intact : ExitCode::damaged;
 }
 
 ExitCode run(int argument_count, char** arguments) {
--- a/src/programs/message_sender.cpp
+++ b/src/programs/message_sender.cpp
@@ -1,7 +1,7 @@
 // The message sender: reads its configuration, runs one SenderProcess and handles signals.
 //
-// SIGTERM and SIGINT stop it gracefully; SIGHUP reads the configuration file again. Exit code 0 after a stop
-// or a handover, 2 if it can't start or go on.
+// SIGTERM and SIGINT stop it gracefully. SIGHUP reloads the configuration file. Exit code: 0 after a stop or
+// a handover, 2 if it can't start or continue.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 
@@ -17,8 +17,8 @@
 
 constexpr int kExitFailure = 2;
 
-// Applies the file's present discovery address, then its limits. An unusable value changes nothing, nor do
-// those after it.
+// Reloads the configuration file and applies its discovery address first and its limits second. An invalid
+// value is logged and not applied, and neither are the values after it.
 void reloadConfiguration(SenderProcess& process) {
   try {
     const ConfigurationFile file = ConfigurationFile::load();
@@ -33,12 +33,12 @@
   }
 }
 
-void awaitReload(boost::asio::signal_set& signals, SenderProcess& process) {
+void waitForReloadSignal(boost::asio::signal_set& signals, SenderProcess& process) {
   signals.async_wait([&signals, &process](const boost::system::error_code& error, int /*signal*/) {
     if (error) {
       return;
     }
-    awaitReload(signals, process);
+    waitForReloadSignal(signals, process);
     reloadConfiguration(process);
   });
 }
@@ -53,7 +53,7 @@
     }
   });
   boost::asio::signal_set reload_signals(io, SIGHUP);
-  awaitReload(reload_signals, process);
+  waitForReloadSignal(reload_signals, process);
   io.run();
 }
 
--- a/tests/programs/journal_inspect_test.cpp
+++ b/tests/programs/journal_inspect_test.cpp
@@ -1,4 +1,4 @@
-// The program journal_inspect: its output and its exit codes.
+// Tests the output and the exit codes of the program journal_inspect.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -50,27 +50,29 @@
   };
   EXPECT_EQ(2, runJournalInspect("").exit_code);
   EXPECT_EQ(2, runJournalInspect("repair " + folder.path()).exit_code);
-  EXPECT_EQ(2, runJournalInspect(check_folder).exit_code) << "there is none";
+  EXPECT_EQ(2, runJournalInspect(check_folder).exit_code) << "the folder has no journal";
 
-  const std::string whole = journalWithEveryRecordType(false, readClocks());
-  write_journal(whole);
-  const ProgramResult sound = runJournalInspect(check_folder);
-  EXPECT_EQ(0, sound.exit_code) << sound.output;
-  EXPECT_TRUE(contains(sound.output, "open run: destination 7, 1 attempts, of which 1 may have run"))
-      << sound.output;
-  EXPECT_TRUE(contains(sound.output, "notice pending pending: returned")) << sound.output;
+  const std::string complete = journalWithEveryRecordType(false, readClocks());
+  write_journal(complete);
+  const ProgramResult intact = runJournalInspect(check_folder);
+  EXPECT_EQ(0, intact.exit_code) << intact.output;
+  EXPECT_TRUE(contains(intact.output, "open run: destination 7, 1 attempts, of which 1 may have run"))
+      << intact.output;
+  EXPECT_TRUE(contains(intact.output, "notice pending pending: returned")) << intact.output;
 
-  write_journal(whole.substr(0, whole.size() - 3));  // beside a running sender: a write is half done
+  // An incomplete last write is no damage: it occurs while a sender is running.
+  write_journal(complete.substr(0, complete.size() - 3));
   EXPECT_EQ(0, runJournalInspect(check_folder).exit_code);
 
-  std::string flipped = whole;
-  flipped[whole.size() / 2] ^= 1;
-  write_journal(flipped);
+  std::string damaged_data = complete;
+  damaged_data[complete.size() / 2] ^= 1;
+  write_journal(damaged_data);
   const ProgramResult damaged = runJournalInspect(check_folder);
   EXPECT_EQ(1, damaged.exit_code);
   EXPECT_TRUE(contains(damaged.output, "1 damaged ranges")) << damaged.output;
   std::ifstream file(journal_path, std::ios::binary);
-  EXPECT_EQ(flipped, std::string(std::istreambuf_iterator<char>(file), {})) << "it only reads";
+  EXPECT_EQ(damaged_data, std::string(std::istreambuf_iterator<char>(file), {}))
+      << "the program must only read";
 
   write_journal("no journal at all");
   EXPECT_EQ(2, runJournalInspect(check_folder).exit_code);
