--- a/src/programs/simulator_adapter.cpp
+++ b/src/programs/simulator_adapter.cpp
@@ -1,8 +1,9 @@
-// The program between the simulator and the decision module: reads one batch of events as a line of JSON from
-// standard input and answers with one line of commands, until the input ends. It keeps many isolated senders
-// and decides nothing.
+// Connects the simulator to the decision module. Reads batches of events from standard input, one batch as
+// JSON per line, and writes one line of commands to standard output for each batch, until the input ends. It
+// hosts many isolated senders and makes no decisions of its own.
 //
-// Exit code: 0 at the end of the input, 2 after a line that can't be read (named on standard error).
+// Exit code: 0 at the end of the input; 2 after a line that can't be read, which is reported on standard
+// error.
 #include <algorithm>
 #include <cstdint>
 #include <exception>
@@ -21,28 +22,30 @@
 
 constexpr int kExitInvalidInput = 2;
 
-// One simulated sender: its decision module, and its events of the batch that is being read.
+// One simulated sender: its decision module, and its events from the batch that is being processed.
 struct SimulatedSender {
   SimulatedSender(SimulatedSenderId id, const SenderStart& start)
-      : scheduler(start.settings, start.seed), load_report_columns(start.load_report_columns), commands(id) {}
+      : scheduler(start.settings, start.seed),
+        load_report_columns(start.load_report_columns),
+        command_writer(id) {}
 
   DeliveryScheduler scheduler;
   const LoadReportColumns load_report_columns;
-  SimulatorCommandWriter commands;
+  SimulatorCommandWriter command_writer;
   std::vector<Event> events;
 };
 
 class SimulatorAdapter {
  public:
-  // Takes a batch of events and returns the commands of all senders that have events in it. Throws
+  // Processes one batch of events and returns the commands of all senders that have events in it. Throws
   // InvalidInput.
   std::string processBatch(const std::string& line) {
     const json batch = json::parse(line, nullptr, false);
     if (batch.is_discarded()) {
-      throw InvalidInput(InputProblem::malformed, "", "not JSON");
+      throw InvalidInput(InputProblem::malformed, "", "batch is not valid JSON");
     }
     if (!batch.is_object()) {
-      throw InvalidInput(InputProblem::wrong_type, "", "not an object");
+      throw InvalidInput(InputProblem::wrong_type, "", "batch is not a JSON object");
     }
     const Micros now = readMilliseconds(batch, "SimTimeMs");
     senders_in_batch_.clear();
@@ -55,7 +58,7 @@
  private:
   void processEvent(const json& event) {
     if (!event.is_object() || event.size() != 1) {
-      throw InvalidInput(InputProblem::wrong_type, "", "an event is an object of one key");
+      throw InvalidInput(InputProblem::wrong_type, "", "event is not a JSON object with exactly one key");
     }
     const std::string& name = event.begin().key();
     try {
@@ -67,22 +70,22 @@
 
   void processEvent(const std::string& name, const json& fields) {
     if (!fields.is_object()) {
-      throw InvalidInput(InputProblem::wrong_type, "", "not an object");
+      throw InvalidInput(InputProblem::wrong_type, "", "fields are not a JSON object");
     }
     if (name == "Roster") {
-      EndpointSheet sheet = parseRoster(fields);
-      endpoint_sheets_[sheet.number] = std::move(sheet.endpoints);
+      NumberedEndpointList list = parseEndpointList(fields);
+      endpoint_lists_[list.number] = std::move(list.endpoints);
       return;
     }
     const SimulatedSenderId id = readInteger(fields, "Who");
     if (name == "Attach") {
-      startSender(id, parseAttach(fields));
+      startSender(id, parseSenderStart(fields));
       return;
     }
     const auto it = senders_.find(id);
     if (it == senders_.end()) {
       throw InvalidInput(InputProblem::unknown_value, "Who",
-                         "instance never attached: " + std::to_string(id));
+                         "sender was never attached: " + std::to_string(id));
     }
     if (name == "PowerOff") {
       senders_.erase(it);
@@ -92,73 +95,74 @@
       senders_in_batch_.push_back(id);
     }
     SimulatedSender& sender = it->second;
-    if (auto event = toModuleEvent(name, fields, sender.load_report_columns)) {
+    if (auto event = toDecisionEvent(name, fields, sender.load_report_columns)) {
       sender.events.push_back(std::move(*event));
     }
   }
 
-  // Attaching a sender that runs already is a restart of it.
+  // Starts a sender. A sender that is already running is restarted: its state is discarded.
   void startSender(SimulatedSenderId id, const SenderStart& start) {
     senders_.erase(id);
     senders_.try_emplace(id, id, start);
   }
 
-  // None for an event that does not matter to the module.
-  std::optional<Event> toModuleEvent(const std::string& name, const json& fields,
-                                     const LoadReportColumns& columns) const {
+  // Returns std::nullopt for an event that the decision module does not use.
+  std::optional<Event> toDecisionEvent(const std::string& name, const json& fields,
+                                       const LoadReportColumns& columns) const {
     if (name == "Members") {
-      return toEndpointsChanged(parseMembers(fields));
+      return toEndpointsChanged(parseListUpdate(fields));
     }
     if (name == "Call") {
-      return parseCall(fields);
+      return parseArrival(fields);
     }
     if (name == "TimeoutFired") {
-      return parseTimeoutFired(fields);
+      return parseTimerFired(fields);
     }
     if (name == "Left") {
-      return parseLeft(fields);
+      return parseAbandoned(fields);
     }
     if (name == "Reply") {
-      return parseReply(fields, columns);
+      return parseAttemptOutcome(fields, columns);
     }
     if (name == "CheckResult") {
-      checkCheckResult(fields);
+      validateHealthCheckResult(fields);
     } else if (name == "Established") {
-      checkEstablished(fields);
-    } else if (name != "Whisper") {
+      validateStreamEstablished(fields);
+    } else if (name != "Whisper") {  // Whisper events are ignored
       throw InvalidInput(InputProblem::unknown_value, "", "unknown event");
     }
     return std::nullopt;
   }
 
-  EndpointsChanged toEndpointsChanged(const MembershipChange& change) const {
-    if (!change.sheet_number) {
-      return {change.kind, {}};
+  EndpointsChanged toEndpointsChanged(const NumberedListUpdate& update) const {
+    if (!update.list_number) {
+      return {update.kind, {}};
     }
-    const auto sheet = endpoint_sheets_.find(*change.sheet_number);
-    if (sheet == endpoint_sheets_.end()) {
+    const auto list = endpoint_lists_.find(*update.list_number);
+    if (list == endpoint_lists_.end()) {
       throw InvalidInput(InputProblem::unknown_value, "Sheet",
-                         "list number never given: " + std::to_string(*change.sheet_number));
+                         "endpoint list was never received: " + std::to_string(*update.list_number));
     }
-    return {change.kind, sheet->second};
+    return {update.kind, list->second};
   }
 
-  // The commands of all senders of the batch, and after them the faults.
+  // Returns the commands of all senders that have events in the batch, followed by the Fatal commands of
+  // those whose decision module threw an exception.
   json decide(Micros now) {
     json commands = json::array();
-    json faults = json::array();
+    json fatal_commands = json::array();
     for (const SimulatedSenderId id : senders_in_batch_) {
       const auto it = senders_.find(id);
-      if (it == senders_.end()) {  // powered off later in the batch
+      if (it == senders_.end()) {  // powered off by a later event of the batch
         continue;
       }
       try {
         decide(it->second, now, commands);
       } catch (const std::exception& error) {
-        faults.push_back(fatalCommand(id, error.what()));
+        fatal_commands.push_back(fatalCommand(id, error.what()));
       }
     }
-    commands.insert(commands.end(), faults.begin(), faults.end());
+    commands.insert(commands.end(), fatal_commands.begin(), fatal_commands.end());
     return commands;
   }
 
@@ -169,15 +173,15 @@
       return;
     }
     for (const Action& action : sender.scheduler.decide(now, events)) {
-      if (auto command = sender.commands.write(action)) {
+      if (auto command = sender.command_writer.write(action)) {
         commands.push_back(std::move(*command));
       }
     }
   }
 
   std::map<SimulatedSenderId, SimulatedSender> senders_;
-  std::map<std::int64_t, std::vector<EndpointInfo>> endpoint_sheets_;  // by their number
-  std::vector<SimulatedSenderId> senders_in_batch_;                    // in the order of their first event
+  std::map<std::int64_t, std::vector<EndpointInfo>> endpoint_lists_;  // by list number
+  std::vector<SimulatedSenderId> senders_in_batch_;                   // in the order of their first events
 };
 
 int run() {
--- a/src/protocol/delivery_response.cpp
+++ b/src/protocol/delivery_response.cpp
@@ -27,25 +27,25 @@
   return value;
 }
 
-// One value of a list, "x0=0.4,x1=25"; 0 if it is missing or no number.
-double listedValue(const std::string& list, const std::string& name) {
+// Returns the value called `name` from a list such as "x0=0.4,x1=25"; 0 if it is missing or not a number.
+double parseListValue(const std::string& list, const std::string& name) {
   const std::string key = "," + name + "=";
   const std::size_t position = ("," + list).find(key);
   if (position == std::string::npos) {
     return 0;
   }
-  const std::size_t value_begin = position + key.size() - 1;  // without the comma put in front
+  const std::size_t value_begin = position + key.size() - 1;  // the key's leading comma is not part of `list`
   return parseNumber(list.substr(value_begin)).value_or(0);
 }
 
-AttemptResult resultOfStatus(const HttpResponse& answer) {
-  switch (answer.status) {
+AttemptResult resultOfStatus(const HttpResponse& response) {
+  switch (response.status) {
     case kStatusOk:
       return AttemptResult::ok;
     case kStatusTooManyRequests:
       return AttemptResult::throttled;
     case kStatusServiceUnavailable: {
-      const bool no_egress_slot = answer.field("x-egress-full") != nullptr;
+      const bool no_egress_slot = response.field("x-egress-full") != nullptr;
       return no_egress_slot ? AttemptResult::not_sent : AttemptResult::throttled;
     }
     case kStatusGatewayTimeout:
@@ -58,8 +58,8 @@
 
 }  // namespace
 
-AttemptResult attemptResultOf(const HttpResponse& answer) {
-  switch (answer.completion) {
+AttemptResult attemptResultOf(const HttpResponse& response) {
+  switch (response.completion) {
     case ExchangeStatus::not_written:
       return AttemptResult::connect_failed;
     case ExchangeStatus::broken:
@@ -69,23 +69,24 @@
     case ExchangeStatus::answered:
       break;
   }
-  // A truncated answer can't be trusted, and the call may have run; a status of 200 alone says it did.
-  if (!answer.body_complete && answer.status != kStatusOk) {
+  // The head of a truncated response is not reliable, and the call may have run. Only a status of 200 is
+  // accepted without the complete body, because it says that the call did run.
+  if (!response.body_complete && response.status != kStatusOk) {
     return AttemptResult::error;
   }
-  return resultOfStatus(answer);
+  return resultOfStatus(response);
 }
 
-bool isMessageFinished(const HttpResponse& answer) {
-  return answer.completion == ExchangeStatus::answered &&
-         (answer.status == kStatusOk || answer.status == kStatusGone);
+bool isMessageFinished(const HttpResponse& response) {
+  return response.completion == ExchangeStatus::answered &&
+         (response.status == kStatusOk || response.status == kStatusGone);
 }
 
-Micros retryAfterOf(const HttpResponse& answer) {
-  if (answer.status != kStatusTooManyRequests && answer.status != kStatusServiceUnavailable) {
+Micros retryAfterOf(const HttpResponse& response) {
+  if (response.status != kStatusTooManyRequests && response.status != kStatusServiceUnavailable) {
     return 0;
   }
-  const std::string* field = answer.field("retry-after");
+  const std::string* field = response.field("retry-after");
   if (field == nullptr) {
     return 0;
   }
@@ -97,12 +98,12 @@
   return static_cast<Micros>(std::ceil(micros));
 }
 
-std::optional<LoadReport> loadReportOf(const HttpResponse& answer) {
-  const std::string* field = answer.field("x-pressure");
+std::optional<LoadReport> loadReportOf(const HttpResponse& response) {
+  const std::string* field = response.field("x-pressure");
   if (field == nullptr) {
     return std::nullopt;
   }
-  return LoadReport{listedValue(*field, "x0"), listedValue(*field, "x1")};
+  return LoadReport{parseListValue(*field, "x0"), parseListValue(*field, "x1")};
 }
 
 }  // namespace delivery
--- a/src/protocol/delivery_response.h
+++ b/src/protocol/delivery_response.h
@@ -1,4 +1,5 @@
-// Reads an endpoint's HTTP answer to a call into what the decision module is given. No sockets.
+// Translates the HTTP response of an endpoint to a call into the values that the decision module works with.
+// Uses no sockets.
 #pragma once
 
 #include <optional>
@@ -8,16 +9,19 @@
 
 namespace delivery {
 
-// By the protocol's table of answers; an answer that is not in it is an error.
-AttemptResult attemptResultOf(const HttpResponse& answer);
+// Follows the protocol's table of response statuses. A status that the table does not list is an error.
+AttemptResult attemptResultOf(const HttpResponse& response);
 
-// The message needs no further attempt: it was delivered, or the endpoint answered that it is gone (410).
-bool isMessageFinished(const HttpResponse& answer);
+// Whether the message needs no further attempt: it was delivered (200), or the endpoint responded that it is
+// gone (410).
+bool isMessageFinished(const HttpResponse& response);
 
-// From its Retry-After field; 0: none. The head suffices: it counts whatever becomes of the body.
-Micros retryAfterOf(const HttpResponse& answer);
+// The pause that the Retry-After field of a 429 or 503 response asks for, in microseconds; 0 if the response
+// asks for none. The head of the response is enough: the pause applies even if the body does not arrive.
+Micros retryAfterOf(const HttpResponse& response);
 
-// None if the answer has no load report, or one that can't be read.
-std::optional<LoadReport> loadReportOf(const HttpResponse& answer);
+// The load report in the X-Pressure field; std::nullopt if the response has no such field. A value that is
+// missing in the field or can't be read counts as 0.
+std::optional<LoadReport> loadReportOf(const HttpResponse& response);
 
 }  // namespace delivery
--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr EnumWord<EndpointState> kEndpointStateWords[] = {
+constexpr EnumName<EndpointState> kEndpointStateNames[] = {
     {"Ready", EndpointState::ready},
     {"Terminating", EndpointState::draining},
     {"Gone", EndpointState::removed},
@@ -14,7 +14,8 @@
 
 ListedEndpoint parseEndpoint(const json& entry) {
   if (!entry.is_object()) {
-    throw InvalidInput(InputProblem::wrong_type, "endpoints", "an endpoint is not an object");
+    throw InvalidInput(InputProblem::wrong_type, "endpoints",
+                       "entry of the endpoint list is not a JSON object");
   }
   ListedEndpoint listed;
   listed.endpoint.id = readString(entry, "name");
@@ -22,27 +23,27 @@
   listed.endpoint.kind = readString(entry, "type", "");
   listed.endpoint.destination = readInteger(entry, "group");
   listed.endpoint.weight = readNumber(entry, "weight", 0);
-  listed.endpoint.state = enumFromWord(readString(entry, "status"), kEndpointStateWords, "status");
+  listed.endpoint.state = enumFromName(readString(entry, "status"), kEndpointStateNames, "status");
   listed.address = readString(entry, "address", "");
   return listed;
 }
 
 }  // namespace
 
-EndpointListUpdate EndpointList::apply(const json& answer) {
-  if (!answer.is_object()) {
-    throw InvalidInput(InputProblem::wrong_type, "", "the list is not an object");
+EndpointListUpdate EndpointList::apply(const json& response) {
+  if (!response.is_object()) {
+    throw InvalidInput(InputProblem::wrong_type, "", "endpoint list is not a JSON object");
   }
-  const std::int64_t index = readInteger(answer, "index");
-  const bool is_snapshot = readBoolean(answer, "snapshot", false);
-  const json& listed_entries = readArray(answer, "endpoints");
+  const std::int64_t index = readInteger(response, "index");
+  const bool is_snapshot = readBoolean(response, "snapshot", false);
+  const json& listed_entries = readArray(response, "endpoints");
   EndpointListUpdate update;
   update.kind = is_snapshot ? EndpointUpdateKind::full : EndpointUpdateKind::delta;
   for (const json& entry : listed_entries) {
     update.endpoints.push_back(parseEndpoint(entry));
   }
 
-  // The whole answer has been read, so it can be applied.
+  // The whole response has been read without an error, so it can be applied.
   if (is_snapshot) {
     entries_.clear();
   }
--- a/src/protocol/endpoint_list.h
+++ b/src/protocol/endpoint_list.h
@@ -1,4 +1,5 @@
-// Discovery's list of endpoints: reading it from JSON, and writing it for the journal. No sockets.
+// The endpoint list of the discovery service: reads it from JSON and writes it for the journal. Uses no
+// sockets.
 #pragma once
 
 #include <cstdint>
@@ -13,31 +14,36 @@
 
 struct ListedEndpoint {
   EndpointInfo endpoint;
-  std::string address;  // "10.0.0.4:6379", unchecked
+  std::string address;  // host and port such as "10.0.0.4:6379"; not validated here
 };
 
-// What one answer of discovery says.
+// The content of one response of the discovery service.
 struct EndpointListUpdate {
-  EndpointUpdateKind kind = EndpointUpdateKind::delta;  // full: the answer is a snapshot
-  std::vector<ListedEndpoint> endpoints;                // in the answer's order
+  EndpointUpdateKind kind = EndpointUpdateKind::delta;  // full if the response is a snapshot
+  std::vector<ListedEndpoint> endpoints;                // in the order of the response
 };
 
-// The endpoints listed at present. They are kept in discovery's own form, so that fields that this program
-// does not know outlast a restart.
+// The endpoints that are listed at present. The entries are kept as the JSON that discovery sent, so that
+// fields that this program does not know survive a restart.
 class EndpointList {
  public:
   static constexpr std::int64_t kNoIndex = -1;
 
-  // Applies an answer of discovery. Throws InvalidInput when it can't be read; then nothing has changed.
-  EndpointListUpdate apply(const json& answer);
+  // Applies a response of the discovery service. Throws InvalidInput if the response can't be read; the list
+  // is then unchanged.
+  EndpointListUpdate apply(const json& response);
+
+  // Returns a snapshot that apply() accepts.
+  json toJson() const;
+
+  // The version of the list at the discovery service; kNoIndex if no list has been read yet.
+  std::int64_t index() const { return index_; }
 
-  json toJson() const;                           // a snapshot that apply() accepts
-  std::int64_t index() const { return index_; }  // discovery's version of the list; kNoIndex: none read yet
   bool contains(const std::string& endpoint) const { return entries_.count(endpoint) > 0; }
 
  private:
   std::int64_t index_ = kNoIndex;
-  std::map<std::string, json> entries_;  // by the endpoint's name
+  std::map<std::string, json> entries_;  // by endpoint name
 };
 
 }  // namespace delivery
--- a/src/protocol/handover_messages.cpp
+++ b/src/protocol/handover_messages.cpp
@@ -5,9 +5,9 @@
 namespace delivery {
 namespace {
 
-constexpr int kIndent = -1;  // one line
+constexpr int kSingleLine = -1;  // as the indentation: json::dump() writes no line breaks
 
-// How a call ended, as a number on the link. Independent of the order of AttemptResult.
+// The result of an attempt as a number on the link. The numbers do not depend on the order of AttemptResult.
 enum class ResultCode : std::int64_t {
   ok = 0,
   error = 1,
@@ -41,7 +41,7 @@
       return static_cast<std::int64_t>(mapping.code);
     }
   }
-  throw std::logic_error("no code on the handover link for an attempt result");
+  throw std::logic_error("attempt result has no code on the handover link");
 }
 
 AttemptResult resultFromCode(std::int64_t code) {
@@ -50,7 +50,7 @@
       return mapping.result;
     }
   }
-  throw InvalidInput(InputProblem::unknown_value, "result", "not a result");
+  throw InvalidInput(InputProblem::unknown_value, "result", "unknown result code");
 }
 
 json callToJson(const CallId& call) {
@@ -59,7 +59,7 @@
 
 CallId callFromJson(const json& value) {
   if (!value.is_array() || value.size() != 2 || !value[0].is_string() || !value[1].is_number_integer()) {
-    throw InvalidInput(InputProblem::wrong_type, "", "not a call");
+    throw InvalidInput(InputProblem::wrong_type, "", "call is not [message id, attempt number]");
   }
   return {value[0].get<std::string>(), value[1].get<int>()};
 }
@@ -80,7 +80,8 @@
 
 LoadReport loadReportFromJson(const json& value) {
   if (value.size() != 2 || !value[0].is_number() || !value[1].is_number()) {
-    throw InvalidInput(InputProblem::wrong_type, "report", "not a report");
+    throw InvalidInput(InputProblem::wrong_type, "report",
+                       "load report is not [remaining share, limit per second]");
   }
   LoadReport report;
   report.remaining_share = value[0].get<double>();
@@ -134,7 +135,7 @@
 template <class Message>
 std::string encodeVariant(const Message& message) {
   const json object = std::visit([](const auto& alternative) { return toJson(alternative); }, message);
-  return object.dump(kIndent, ' ', false, json::error_handler_t::replace);
+  return object.dump(kSingleLine, ' ', false, json::error_handler_t::replace);
 }
 
 json parseLine(const std::string& line) {
--- a/src/protocol/handover_messages.h
+++ b/src/protocol/handover_messages.h
@@ -1,6 +1,6 @@
-// The messages between two processes of one sender during a handover, as typed values, and their form on the
-// link: one JSON object a line. Processes of earlier versions read and write the same lines, so keys and
-// result codes must not change.
+// The messages between the two processes of one sender during a handover, as typed values, and their encoding
+// on the handover link: one JSON object per line. Processes of earlier versions read and write the same
+// lines, so keys and result codes must not change.
 //
 //   predecessor to successor   {"release":[["message",0],...]}      OwnershipReleased
 //                              {"outcome":{...}}                    AttemptOutcome
@@ -23,7 +23,8 @@
 
 // The predecessor has written the journal and released the lock.
 struct OwnershipReleased {
-  std::vector<CallId> calls_in_flight;  // that the predecessor completes; each gets an AttemptOutcome
+  // The predecessor completes these calls and sends an AttemptOutcome for each.
+  std::vector<CallId> calls_in_flight;
 };
 
 // The successor has recovered the journal and serves clients.
@@ -34,13 +35,14 @@
   CallId call;
 };
 
-// The successor learned that an endpoint drains: requests that are not written yet must not be sent to it.
+// The successor has learned that an endpoint is draining. The predecessor must not send it requests that are
+// not written yet.
 struct EndpointDrainingNotice {
   std::string endpoint;
 };
 
-// The successor received a Retry-After: requests to the destination that are not written yet must not be
-// sent.
+// The successor has received a Retry-After. The predecessor must not send the destination requests that are
+// not written yet.
 struct RetryAfterNotice {
   std::string endpoint;
   std::int64_t destination = 0;
@@ -49,13 +51,15 @@
 using PredecessorMessage = std::variant<OwnershipReleased, AttemptOutcome>;
 using SuccessorMessage = std::variant<SuccessorServing, EndpointDrainingNotice, RetryAfterNotice, CancelCall>;
 
-// The line for a message, without its end. Text that is not UTF-8 is replaced, not refused.
+// Encode a message as one line, without the line end. Bytes that are not UTF-8 are replaced by U+FFFD and are
+// not an error.
 std::string encodeHandoverMessage(const PredecessorMessage& message);
 std::string encodeHandoverMessage(const SuccessorMessage& message);
 
-// Decode one line. A line may hold several messages: `on_message` is called for each, in the order of the
-// variant, before the next one is read. Unknown keys and lines that are not JSON objects are ignored, so that
-// later versions may add messages. Throw InvalidInput that names the field if a known message can't be read.
+// Decode one line. A line may hold several messages: they are read in the order of the variant's
+// alternatives, and `on_message` is called for each before the next one is read. Unknown keys and lines that
+// are not JSON objects are ignored, so that later versions may add messages. Throw an InvalidInput that names
+// the field if a known message can't be read.
 void decodePredecessorLine(const std::string& line,
                            const std::function<void(const PredecessorMessage&)>& on_message);
 void decodeSuccessorLine(const std::string& line,
--- a/src/protocol/json_fields.h
+++ b/src/protocol/json_fields.h
@@ -1,6 +1,6 @@
-// Strict reading of single fields of a JSON object. All readers of JSON in this program use it, so that an
-// error always names the field. Header only: the simulator's adapter uses it without linking the sender's
-// library.
+// Strict reading of single fields of a JSON object. All code of this program that reads JSON uses these
+// functions, so that an error always names the field. Header only: the simulator adapter uses it without
+// linking the sender's library.
 #pragma once
 
 #include <cmath>
@@ -17,22 +17,24 @@
 using nlohmann::json;
 
 enum class InputProblem {
-  missing,        // a required field is not there
-  wrong_type,     // the field holds another type of JSON value than is wanted
-  unknown_value,  // the type is right, but the value is none of those allowed
-  out_of_range,   // a figure is too small, too large or contradicts another one
-  malformed,      // the input as a whole can't be read
+  missing,        // a required field does not exist
+  wrong_type,     // the value of the field has another JSON type than expected
+  unknown_value,  // the type is correct, but the value is not one of the allowed values
+  out_of_range,   // a number is too small, too large or contradicts another one
+  malformed,      // the input as a whole can't be parsed
 };
 
-// Input that can't be used: configuration, settings, discovery's lists and messages of the handover link.
-// what() is the whole message for the log or the caller.
+// Thrown for input that can't be used: configuration, settings, endpoint lists of the discovery service,
+// messages on the handover link and lines of the simulator. what() is the complete message for the log or the
+// caller.
 class InvalidInput : public std::runtime_error {
  public:
   InvalidInput(InputProblem problem, std::string field, const std::string& message)
       : std::runtime_error(message), problem_(problem), field_(std::move(field)) {}
 
   InputProblem problem() const { return problem_; }
-  // The name of the field, with its parents' names where they are known; empty if no field is at fault.
+  // The name of the field, preceded by the names of its parents where they are known; empty if the error does
+  // not belong to a field.
   const std::string& field() const { return field_; }
 
  private:
@@ -40,8 +42,8 @@
   std::string field_;
 };
 
-// Every reader below throws InvalidInput if the field is missing or of another type. Those with a default
-// give it back if the field is missing or null.
+// The functions below throw InvalidInput if the field is missing or has another type. The functions with a
+// default value return it if the field is missing or null.
 
 inline const json& requireField(const json& object, const char* name) {
   const auto found = object.find(name);
@@ -51,7 +53,8 @@
   return *found;
 }
 
-// Missing or null. `object` may be any JSON value: one that is not an object has no fields.
+// Whether the field is missing or null. `object` may be any JSON value: a value that is not an object has no
+// fields.
 inline bool isAbsent(const json& object, const char* name) {
   const auto found = object.find(name);
   return found == object.end() || found->is_null();
@@ -121,7 +124,7 @@
   return value;
 }
 
-// An empty object if the field is missing or null.
+// Returns an empty object if the field is missing or null.
 inline const json& readOptionalObject(const json& object, const char* name) {
   static const json empty_object = json::object();
   return isAbsent(object, name) ? empty_object : readObject(object, name);
@@ -135,7 +138,8 @@
   return static_cast<double>(micros) / static_cast<double>(kMicrosPerMillisecond);
 }
 
-// A time span or a point in time that the input gives in milliseconds, with fractions, as microseconds.
+// Reads a time span or a point in time. The input is in milliseconds, possibly with fractions; the result is
+// in microseconds.
 inline Micros readMilliseconds(const json& object, const char* name) {
   return microsFromMilliseconds(readNumber(object, name));
 }
@@ -144,25 +148,25 @@
   return isAbsent(object, name) ? default_value : readMilliseconds(object, name);
 }
 
-// A word of the input and the value of an enumeration that it stands for. Each enumeration that is read has
-// one table of these, next to its reader.
+// The name of an enumeration value in the input. Each enumeration that is read from the input has one table
+// of these, next to the function that reads it.
 template <class Enum>
-struct EnumWord {
-  const char* word;
+struct EnumName {
+  const char* name;
   Enum value;
 };
 
-// The value that `word` stands for; throws InvalidInput that names the field and the word if it is none of
-// them.
+// Returns the enumeration value called `name`. If there is none, throws an InvalidInput with the name of the
+// field and `name`.
 template <class Enum, std::size_t Count>
-Enum enumFromWord(const std::string& word, const EnumWord<Enum> (&words)[Count], const char* field_name) {
-  for (const EnumWord<Enum>& entry : words) {
-    if (word == entry.word) {
+Enum enumFromName(const std::string& name, const EnumName<Enum> (&names)[Count], const char* field_name) {
+  for (const EnumName<Enum>& entry : names) {
+    if (name == entry.name) {
       return entry.value;
     }
   }
   throw InvalidInput(InputProblem::unknown_value, field_name,
-                     std::string("unknown value of ") + field_name + ": " + word);
+                     std::string("unknown value of ") + field_name + ": " + name);
 }
 
 }  // namespace delivery
--- a/src/protocol/message_request.cpp
+++ b/src/protocol/message_request.cpp
@@ -9,15 +9,15 @@
 namespace {
 
 constexpr std::int64_t kMaxTimeToLiveMs = 24LL * 3600 * 1000;
-constexpr std::size_t kMaxDigits = 18;  // fits 64 bits
-constexpr char kDelete = 127;
+constexpr std::size_t kMaxDigits = 18;  // every number of 18 digits fits into 64 bits
+constexpr char kDeleteCharacter = 127;
 
-// MSG.PUT order-key id fields body
-constexpr std::size_t kOrderKeyWord = 1;
-constexpr std::size_t kIdWord = 2;
-constexpr std::size_t kFieldsWord = 3;
-constexpr std::size_t kBodyWord = 4;
-constexpr std::size_t kMessageWords = 5;
+// Positions of the arguments in "MSG.PUT order-key id fields body".
+constexpr std::size_t kOrderKeyIndex = 1;
+constexpr std::size_t kIdIndex = 2;
+constexpr std::size_t kFieldListIndex = 3;
+constexpr std::size_t kBodyIndex = 4;
+constexpr std::size_t kMessageArgumentCount = 5;
 
 std::optional<std::int64_t> parseWholeNumber(const std::string& text) {
   if (text.empty() || text.size() > kMaxDigits || text.find_first_not_of("0123456789") != std::string::npos) {
@@ -26,9 +26,10 @@
   return std::strtoll(text.c_str(), nullptr, 10);
 }
 
-// Ids and keys become HTTP header values, which a blank or control character might end early.
+// Ids and idempotency keys are sent as HTTP header values, which a space or a control character could end
+// early.
 bool isValidHeaderValue(const std::string& text) {
-  return std::none_of(text.begin(), text.end(), [](char c) { return c <= ' ' || c == kDelete; });
+  return std::none_of(text.begin(), text.end(), [](char c) { return c <= ' ' || c == kDeleteCharacter; });
 }
 
 std::string toUpper(std::string text) {
@@ -40,7 +41,7 @@
   return text;
 }
 
-// Reads a list of fields, "c=notice,d=8000,...", into a message. Fields that are not known are ignored.
+// Reads the field list of MSG.PUT, such as "c=notice,d=8000,...", into a message. Unknown fields are ignored.
 class FieldListReader {
  public:
   explicit FieldListReader(SubmittedMessage& message) : message_(message) {}
@@ -48,21 +49,21 @@
   std::optional<RequestError> read(const std::string& list) {
     for (std::size_t begin = 0; begin < list.size();) {
       const std::size_t end = std::min(list.find(',', begin), list.size());
-      if (const auto error = readItem(list.substr(begin, end - begin))) {
+      if (const auto error = readEntry(list.substr(begin, end - begin))) {
         return error;
       }
       begin = end + 1;
     }
-    return findMissing();
+    return findMissingField();
   }
 
  private:
-  std::optional<RequestError> readItem(const std::string& item) {
-    const std::size_t equals = item.find('=');
+  std::optional<RequestError> readEntry(const std::string& entry) {
+    const std::size_t equals = entry.find('=');
     if (equals == std::string::npos) {
       return RequestError::malformed_field_list;
     }
-    return readField(item.substr(0, equals), item.substr(equals + 1));
+    return readField(entry.substr(0, equals), entry.substr(equals + 1));
   }
 
   std::optional<RequestError> readField(const std::string& name, const std::string& value) {
@@ -102,7 +103,7 @@
     return std::nullopt;
   }
 
-  std::optional<RequestError> findMissing() const {
+  std::optional<RequestError> findMissingField() const {
     if (message_.message_class.empty()) {
       return RequestError::missing_class;
     }
@@ -120,20 +121,21 @@
   bool has_destination_ = false;
 };
 
-ClientRequest parseMessage(const std::vector<std::string>& words) {
-  if (words.size() != kMessageWords) {
+ClientRequest parseMessage(const std::vector<std::string>& arguments) {
+  if (arguments.size() != kMessageArgumentCount) {
     return RequestError::wrong_argument_count;
   }
   SubmittedMessage message;
-  if (words[kOrderKeyWord].find_first_not_of('0') != std::string::npos) {  // all zeros: not ordered
-    message.order_key = words[kOrderKeyWord];
+  // An order key of zeros only means that the message has none.
+  if (arguments[kOrderKeyIndex].find_first_not_of('0') != std::string::npos) {
+    message.order_key = arguments[kOrderKeyIndex];
   }
-  message.id = words[kIdWord];
-  message.body = words[kBodyWord];
+  message.id = arguments[kIdIndex];
+  message.body = arguments[kBodyIndex];
   if (message.id.empty() || !isValidHeaderValue(message.id)) {
     return RequestError::malformed_id;
   }
-  if (const auto error = FieldListReader(message).read(words[kFieldsWord])) {
+  if (const auto error = FieldListReader(message).read(arguments[kFieldListIndex])) {
     return *error;
   }
   if (!isValidHeaderValue(message.idempotency_key)) {
@@ -170,16 +172,16 @@
   return "-ERR";
 }
 
-ClientRequest parseClientRequest(const std::vector<std::string>& words) {
-  const std::string command = toUpper(words.front());
+ClientRequest parseClientRequest(const std::vector<std::string>& arguments) {
+  const std::string command = toUpper(arguments.front());
   if (command == "PING") {
-    if (words.size() > 1) {
+    if (arguments.size() > 1) {
       return RequestError::wrong_argument_count;
     }
     return PingRequest{};
   }
   if (command == "MSG.PUT") {
-    return parseMessage(words);
+    return parseMessage(arguments);
   }
   return RequestError::unknown_command;
 }
--- a/src/protocol/message_request.h
+++ b/src/protocol/message_request.h
@@ -1,4 +1,5 @@
-// The requests of clients, PING and MSG.PUT, from the words of a RESP request to typed values. No sockets.
+// Parses the requests of clients, PING and MSG.PUT: from the arguments of a RESP request to typed values.
+// Uses no sockets.
 #pragma once
 
 #include <string>
@@ -24,13 +25,14 @@
   missing_destination
 };
 
-// The reply line for a request in error, without its end; part of the protocol.
+// The reply line for an invalid request, without the line end. The texts are part of the protocol.
 const char* errorReply(RequestError error);
 
-// SubmittedMessage: of MSG.PUT; its deadline is not set, as that counts from when the request was sent.
+// SubmittedMessage stands for MSG.PUT. Its deadline is not set, because the time to live counts from the
+// moment at which the client sent the request.
 using ClientRequest = std::variant<PingRequest, SubmittedMessage, RequestError>;
 
-// `words`: at least one, as a RESP request has.
-ClientRequest parseClientRequest(const std::vector<std::string>& words);
+// Parses the arguments of one RESP request. `arguments` holds at least the command.
+ClientRequest parseClientRequest(const std::vector<std::string>& arguments);
 
 }  // namespace delivery
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -8,21 +8,21 @@
 constexpr std::size_t kMaxLengthDigits = 8;
 constexpr std::string_view kLineEnd = "\r\n";
 
-// A part of a request, or why it could not be parsed.
+// A part of a request, or the reason why it could not be parsed.
 using LengthResult = std::variant<std::size_t, RespIncomplete, RespProtocolError>;
 using ArgumentResult = std::variant<std::string, RespIncomplete, RespProtocolError>;
 
-RespProtocolError protocolError(const std::string& what) {
-  return {"Protocol error: " + what};
+RespProtocolError protocolError(const std::string& reason) {
+  return {"Protocol error: " + reason};
 }
 
 bool isDigit(char c) {
   return c >= '0' && c <= '9';
 }
 
-// Passes on why a part could not be parsed as the result of the whole.
+// Converts the result of a part that could not be parsed to the result of the enclosing element.
 template <class Result, class Part>
-Result stoppedBy(const Part& part) {
+Result propagateFailure(const Part& part) {
   if (const auto* error = std::get_if<RespProtocolError>(&part)) {
     return *error;
   }
@@ -37,7 +37,7 @@
     const LengthResult parsed_count = parseLength('*', kMaxRespArguments);
     const auto* count = std::get_if<std::size_t>(&parsed_count);
     if (count == nullptr) {
-      return stoppedBy<RespParseResult>(parsed_count);
+      return propagateFailure<RespParseResult>(parsed_count);
     }
     if (*count == 0) {
       return protocolError("empty request");
@@ -47,7 +47,7 @@
       ArgumentResult parsed_argument = parseArgument();
       auto* argument = std::get_if<std::string>(&parsed_argument);
       if (argument == nullptr) {
-        return stoppedBy<RespParseResult>(parsed_argument);
+        return propagateFailure<RespParseResult>(parsed_argument);
       }
       request.arguments.push_back(std::move(*argument));
     }
@@ -56,15 +56,15 @@
   }
 
  private:
-  // "$<length>\r\n<bytes>\r\n"
+  // Parses "$<length>\r\n<bytes>\r\n".
   ArgumentResult parseArgument() {
     const LengthResult parsed_length = parseLength('$', kMaxRespArgumentBytes);
     const auto* length = std::get_if<std::size_t>(&parsed_length);
     if (length == nullptr) {
-      return stoppedBy<ArgumentResult>(parsed_length);
+      return propagateFailure<ArgumentResult>(parsed_length);
     }
-    arguments_size_ += *length;
-    if (arguments_size_ > 2 * kMaxRespArgumentBytes) {
+    total_argument_bytes_ += *length;
+    if (total_argument_bytes_ > kMaxRespTotalArgumentBytes) {
       return protocolError("too long");
     }
     if (input_.size() - position_ < *length + kLineEnd.size()) {
@@ -78,7 +78,8 @@
     return argument;
   }
 
-  // "<prefix><digits>\r\n". A length that can only turn out invalid is rejected before its line is complete.
+  // Parses "<prefix><digits>\r\n". A length that is already known to be invalid is rejected before its line
+  // is complete.
   LengthResult parseLength(char prefix, std::size_t max) {
     if (position_ >= input_.size()) {
       return RespIncomplete{};
@@ -111,8 +112,8 @@
   }
 
   std::string_view input_;
-  std::size_t position_ = 0;        // of the next byte to parse
-  std::size_t arguments_size_ = 0;  // bytes of the arguments so far
+  std::size_t position_ = 0;              // index of the next byte to parse
+  std::size_t total_argument_bytes_ = 0;  // total length of the arguments parsed so far
 };
 
 }  // namespace
--- a/src/protocol/resp.h
+++ b/src/protocol/resp.h
@@ -1,6 +1,6 @@
-// A strict parser of RESP2 requests (arrays of bulk strings) with bounds on all sizes. It needs no socket:
-// the caller appends what it has read to a buffer and parses the buffer's front again until a request is
-// complete.
+// A strict parser of RESP2 requests (arrays of bulk strings) with limits on all sizes. It uses no socket: the
+// caller appends the bytes that it has read to a buffer, and parses the buffer from its front until a request
+// is complete.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +11,27 @@
 
 namespace delivery {
 
-constexpr std::size_t kMaxRespArguments = 16;         // of one request, the command included
-constexpr std::size_t kMaxRespArgumentBytes = 65536;  // of one argument; all together may have twice as many
-// No well-formed request is longer, so a reader can stop reading there.
-constexpr std::size_t kMaxRespRequestBytes = 64 + kMaxRespArguments * 16 + 2 * kMaxRespArgumentBytes;
+constexpr std::size_t kMaxRespArguments = 16;         // in one request, including the command
+constexpr std::size_t kMaxRespArgumentBytes = 65536;  // in one argument
+// In all arguments of one request together.
+constexpr std::size_t kMaxRespTotalArgumentBytes = 2 * kMaxRespArgumentBytes;
+// The longest well-formed request is shorter, so a connection can stop reading at this size. 64 bytes are
+// more than the array header needs, and 16 bytes more than the length line and the line end of an argument
+// need.
+constexpr std::size_t kMaxRespRequestBytes = 64 + kMaxRespArguments * 16 + kMaxRespTotalArgumentBytes;
 
 // A complete request.
 struct RespRequest {
-  std::vector<std::string> arguments;  // at least one: the command comes first
-  std::size_t consumed_bytes = 0;      // that the request took up at the front of the input
+  std::vector<std::string> arguments;  // at least one; the first one is the command
+  std::size_t consumed_bytes = 0;      // length of the request at the front of the input
 };
 
-// The input is the beginning of a request that may still be well formed.
+// The input is the beginning of a request that is well formed so far.
 struct RespIncomplete {};
 
-// The input violates the protocol, whatever follows it.
+// The input violates the protocol, regardless of the bytes that follow.
 struct RespProtocolError {
-  std::string message;  // for the client, without the leading "-ERR "
+  std::string message;  // the text for the client, without the leading "-ERR "
 };
 
 using RespParseResult = std::variant<RespRequest, RespIncomplete, RespProtocolError>;
--- a/src/protocol/settings_reader.cpp
+++ b/src/protocol/settings_reader.cpp
@@ -5,32 +5,33 @@
 
 constexpr int kDefaultMaxMessages = 20'000;
 
-constexpr EnumWord<Idempotency> kIdempotencyWords[] = {
+constexpr EnumName<Idempotency> kIdempotencyNames[] = {
     {"idempotent", Idempotency::idempotent},
     {"deduplicated", Idempotency::deduplicated},
     {"at_most_once", Idempotency::non_idempotent},
 };
 
-constexpr EnumWord<DeduplicationScope> kDeduplicationScopeWords[] = {
+constexpr EnumName<DeduplicationScope> kDeduplicationScopeNames[] = {
     {"all", DeduplicationScope::all},
     {"zone", DeduplicationScope::zone},
     {"cell", DeduplicationScope::cell},
 };
 
-constexpr EnumWord<LateDecay> kLateDecayWords[] = {
+constexpr EnumName<LateDecay> kLateDecayNames[] = {
     {"line", LateDecay::linear},
     {"halves", LateDecay::halving},
 };
 
-// Live weights arrive as load reports, not in the endpoint list.
-constexpr EnumWord<WeightKind> kWeightKindWords[] = {
+// "live" is read as WeightKind::none, because live weights arrive in load reports and not in the endpoint
+// list.
+constexpr EnumName<WeightKind> kWeightKindNames[] = {
     {"silent", WeightKind::none},
     {"nominal", WeightKind::nominal},
     {"rough", WeightKind::rough},
     {"live", WeightKind::none},
 };
 
-constexpr EnumWord<DiscoveryMode> kDiscoveryModeWords[] = {
+constexpr EnumName<DiscoveryMode> kDiscoveryModeNames[] = {
     {"push", DiscoveryMode::push},
     {"ask", DiscoveryMode::poll},
 };
@@ -44,16 +45,16 @@
   message_class.priority_weight = readNumber(object, "Worth", 1);
   message_class.late_weight_share = readNumber(object, "LateWorth", 0);
   message_class.idempotency =
-      enumFromWord(readString(object, "Idempotency"), kIdempotencyWords, "Idempotency");
+      enumFromName(readString(object, "Idempotency"), kIdempotencyNames, "Idempotency");
   message_class.deduplication_scope =
-      enumFromWord(readString(object, "Group", "all"), kDeduplicationScopeWords, "Group");
+      enumFromName(readString(object, "Group", "all"), kDeduplicationScopeNames, "Group");
   message_class.deduplication_window = readMilliseconds(object, "MemorySpanMs", 0);
   message_class.ordered = readBoolean(object, "KeepOrder", false);
   return message_class;
 }
 
-// `Kinds` names the kinds of destination; `Domain` holds one entry for each of them, in the same order.
-// Entries that are missing or of another type keep their defaults.
+// `Kinds` lists the names of the destination kinds. The arrays in `Domain` hold one entry for each kind, in
+// the same order. An entry that is missing or of another type leaves the default value unchanged.
 void readDestinationKinds(const json& object, const json& domain, Settings& settings) {
   if (!isAbsent(object, "Kinds")) {
     for (const json& kind : readArray(object, "Kinds")) {
@@ -76,10 +77,10 @@
 void readDomain(const json& object, Settings& settings) {
   const json& domain = readOptionalObject(object, "Domain");
   settings.call_slots = static_cast<int>(readNumber(domain, "CallSlots", 1));
-  settings.late_decay = enumFromWord(readString(domain, "Late", "line"), kLateDecayWords, "Late");
+  settings.late_decay = enumFromName(readString(domain, "Late", "line"), kLateDecayNames, "Late");
   if (!isAbsent(domain, "ZoneFee")) {
-    for (const json& fee : readArray(domain, "ZoneFee")) {
-      settings.zone_cost.push_back(fee.is_number() ? fee.get<double>() : 0);
+    for (const json& cost : readArray(domain, "ZoneFee")) {
+      settings.zone_cost.push_back(cost.is_number() ? cost.get<double>() : 0);
     }
   }
   readDestinationKinds(object, domain, settings);
@@ -128,45 +129,47 @@
   }
 }
 
-void require(bool is_valid, const char* field) {
-  if (!is_valid) {
-    throw InvalidInput(InputProblem::out_of_range, field, std::string("settings: ") + field);
+void requireInRange(bool is_in_range, const char* field) {
+  if (!is_in_range) {
+    throw InvalidInput(InputProblem::out_of_range, field, std::string("setting out of range: ") + field);
   }
 }
 
 void validateMessageClass(const MessageClass& message_class) {
-  require(message_class.latency_objective > 0, "classes.aim");
-  require(message_class.deadline >= message_class.latency_objective, "classes.deadline");
-  require(message_class.deduplication_window >= 0, "classes.memory");
-  require(message_class.priority_weight >= 0 && message_class.late_weight_share >= 0 &&
-              message_class.work_estimate_factor >= 0,
-          "classes.worth");
+  requireInRange(message_class.latency_objective > 0, "classes.aim");
+  requireInRange(message_class.deadline >= message_class.latency_objective, "classes.deadline");
+  requireInRange(message_class.deduplication_window >= 0, "classes.memory");
+  requireInRange(message_class.priority_weight >= 0 && message_class.late_weight_share >= 0 &&
+                     message_class.work_estimate_factor >= 0,
+                 "classes.worth");
 }
 
 }  // namespace
 
 void validateSettings(const Settings& settings) {
-  require(!settings.classes.empty(), "classes");
+  requireInRange(!settings.classes.empty(), "classes");
   for (const MessageClass& message_class : settings.classes) {
     validateMessageClass(message_class);
   }
   for (const Tenant& tenant : settings.tenants) {
-    require(tenant.quota >= 0, "tenants.quota");
+    requireInRange(tenant.quota >= 0, "tenants.quota");
   }
   for (const DestinationKind& kind : settings.destination_kinds) {
-    require(kind.messages_per_call >= 1, "kinds.per_call");
+    requireInRange(kind.messages_per_call >= 1, "kinds.per_call");
   }
-  require(settings.sender_count >= 1, "senders");
-  require(settings.call_slots >= 1, "slots");
-  require(settings.max_messages >= 1, "max_open");
-  require(settings.max_attempts >= 1, "max_attempts");
-  require(settings.tick >= 0 && settings.answer_slack >= 0, "tick");
-  require(settings.drain_grace >= 0 && settings.poll_interval >= 0 && settings.ordering_pause >= 0, "rules");
-  require(settings.connect_timeout >= 0 && settings.connection_idle_timeout >= 0, "dial_timeout");
-  require(settings.max_retry_after >= 0, "max_pause");
-  require(settings.overload_window >= 0 && settings.slow_start_time >= 0, "fall_span");
-  require(settings.slow_start_share > 0 && settings.slow_start_share <= 1 && settings.overload_factor > 0,
-          "cold_share");
+  requireInRange(settings.sender_count >= 1, "senders");
+  requireInRange(settings.call_slots >= 1, "slots");
+  requireInRange(settings.max_messages >= 1, "max_open");
+  requireInRange(settings.max_attempts >= 1, "max_attempts");
+  requireInRange(settings.tick >= 0 && settings.answer_slack >= 0, "tick");
+  requireInRange(settings.drain_grace >= 0 && settings.poll_interval >= 0 && settings.ordering_pause >= 0,
+                 "rules");
+  requireInRange(settings.connect_timeout >= 0 && settings.connection_idle_timeout >= 0, "dial_timeout");
+  requireInRange(settings.max_retry_after >= 0, "max_pause");
+  requireInRange(settings.overload_window >= 0 && settings.slow_start_time >= 0, "fall_span");
+  requireInRange(
+      settings.slow_start_share > 0 && settings.slow_start_share <= 1 && settings.overload_factor > 0,
+      "cold_share");
 }
 
 Settings readSettings(const json& object) {
@@ -177,9 +180,9 @@
   readTenants(object, settings);
   readZones(object, settings);
   settings.weight_kind =
-      enumFromWord(readString(object, "WeightKind", "silent"), kWeightKindWords, "WeightKind");
+      enumFromName(readString(object, "WeightKind", "silent"), kWeightKindNames, "WeightKind");
   settings.discovery_mode =
-      enumFromWord(readString(object, "Discovery", "push"), kDiscoveryModeWords, "Discovery");
+      enumFromName(readString(object, "Discovery", "push"), kDiscoveryModeNames, "Discovery");
   settings.sender_count = static_cast<int>(readNumber(object, "Balancers", 1));
   settings.tick = readMilliseconds(object, "TickMs", 0);
   settings.over_quota_weight = readNumber(object, "OverShareWorth", 1);
--- a/src/protocol/settings_reader.h
+++ b/src/protocol/settings_reader.h
@@ -1,4 +1,4 @@
-// Reads the settings that the sender and the simulator's adapter are both given, from their JSON form.
+// Reads the settings of the decision module from JSON, for the sender and for the simulator adapter.
 #pragma once
 
 #include "common/settings.h"
@@ -6,11 +6,11 @@
 
 namespace delivery {
 
-// Throws InvalidInput that names the first setting whose value is out of range.
+// Throws an InvalidInput that names the first setting whose value is out of range.
 void validateSettings(const Settings& settings);
 
-// Reads and validates the settings. Field names are those of docs/ and of the simulator; spans are in
-// milliseconds. Throws InvalidInput that names the field.
+// Reads and validates the settings. The field names are those in docs/ and of the simulator; time spans are
+// in milliseconds. Throws an InvalidInput that names the field.
 Settings readSettings(const json& object);
 
 }  // namespace delivery
--- a/src/protocol/simulator_wire.cpp
+++ b/src/protocol/simulator_wire.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr EnumWord<AttemptResult> kAttemptResultWords[] = {
+constexpr EnumName<AttemptResult> kAttemptResultNames[] = {
     {"success", AttemptResult::ok},
     {"failure", AttemptResult::error},
     {"overloaded", AttemptResult::throttled},
@@ -20,8 +20,8 @@
     {"void", AttemptResult::not_sent},
 };
 
-AttemptResult parseResult(const json& fields) {
-  return enumFromWord(readString(fields, "How"), kAttemptResultWords, "How");
+AttemptResult parseAttemptResult(const json& fields) {
+  return enumFromName(readString(fields, "How"), kAttemptResultNames, "How");
 }
 
 LoadReportColumns parseLoadReportColumns(const json& options) {
@@ -43,7 +43,7 @@
   return columns;
 }
 
-EndpointState parseMode(const json& member) {
+EndpointState parseEndpointState(const json& member) {
   switch (readInteger(member, "Mode")) {
     case 1:
       return EndpointState::removed;
@@ -56,7 +56,7 @@
   }
 }
 
-EndpointUpdateKind parseKind(const json& fields) {
+EndpointUpdateKind parseEndpointUpdateKind(const json& fields) {
   switch (readInteger(fields, "Kind")) {
     case 0:
       return EndpointUpdateKind::delta;
@@ -71,43 +71,43 @@
   }
 }
 
-EndpointInfo parseMember(const json& member) {
+EndpointInfo parseEndpoint(const json& member) {
   EndpointInfo endpoint;
   endpoint.id = readString(member, "Endpoint");
   endpoint.zone = readString(member, "Hall", "");
   endpoint.kind = readString(member, "Hw", "");
   endpoint.destination = readInteger(member, "Cell");
-  endpoint.state = parseMode(member);
+  endpoint.state = parseEndpointState(member);
   endpoint.weight = readNumber(member, "Share", 0);
   return endpoint;
 }
 
-// What is missing from the row, or not a number, counts as 0.
-double valueAt(const json& row, int column) {
-  if (column < 0 || column >= static_cast<int>(row.size())) {
+// Returns 0 if `values` has no such column or its value is not a number.
+double numberAt(const json& values, int column) {
+  if (column < 0 || column >= static_cast<int>(values.size())) {
     return 0;
   }
-  const json& value = row[static_cast<std::size_t>(column)];
+  const json& value = values[static_cast<std::size_t>(column)];
   return value.is_number() ? value.get<double>() : 0;
 }
 
-std::optional<LoadReport> parseGauge(const json& fields, const LoadReportColumns& columns) {
+std::optional<LoadReport> parseLoadReport(const json& fields, const LoadReportColumns& columns) {
   if (isAbsent(fields, "Gauge")) {
     return std::nullopt;
   }
-  const json& row = readArray(fields, "Gauge");
+  const json& values = readArray(fields, "Gauge");
   if (columns.remaining_share == LoadReportColumns::kAbsent &&
       columns.limit_per_second == LoadReportColumns::kAbsent) {
     return std::nullopt;
   }
-  return LoadReport{valueAt(row, columns.remaining_share), valueAt(row, columns.limit_per_second)};
+  return LoadReport{numberAt(values, columns.remaining_share), numberAt(values, columns.limit_per_second)};
 }
 
 }  // namespace
 
 // ---- Events
 
-SenderStart parseAttach(const json& fields) {
+SenderStart parseSenderStart(const json& fields) {
   SenderStart start;
   start.seed = static_cast<std::uint64_t>(readInteger(fields, "RandomSeed"));
   const json& options = readObject(fields, "Options");
@@ -116,25 +116,25 @@
   return start;
 }
 
-EndpointSheet parseRoster(const json& fields) {
-  EndpointSheet sheet;
+NumberedEndpointList parseEndpointList(const json& fields) {
+  NumberedEndpointList list;
   for (const json& member : readArray(fields, "Members")) {
-    sheet.endpoints.push_back(parseMember(member));
+    list.endpoints.push_back(parseEndpoint(member));
   }
-  sheet.number = readInteger(fields, "Sheet");
-  return sheet;
+  list.number = readInteger(fields, "Sheet");
+  return list;
 }
 
-MembershipChange parseMembers(const json& fields) {
-  MembershipChange change;
-  change.kind = parseKind(fields);
-  if (change.kind != EndpointUpdateKind::failed) {
-    change.sheet_number = readInteger(fields, "Sheet");
+NumberedListUpdate parseListUpdate(const json& fields) {
+  NumberedListUpdate update;
+  update.kind = parseEndpointUpdateKind(fields);
+  if (update.kind != EndpointUpdateKind::failed) {
+    update.list_number = readInteger(fields, "Sheet");
   }
-  return change;
+  return update;
 }
 
-Arrival parseCall(const json& fields) {
+Arrival parseArrival(const json& fields) {
   Arrival arrival;
   arrival.id = readString(fields, "OpId");
   arrival.message_class = readString(fields, "TierClass");
@@ -150,34 +150,34 @@
   return arrival;
 }
 
-Abandoned parseLeft(const json& fields) {
+Abandoned parseAbandoned(const json& fields) {
   return {readString(fields, "OpId")};
 }
 
-TimerFired parseTimeoutFired(const json& fields) {
-  readInteger(fields, "Label");  // the module does not tell its timers apart
+TimerFired parseTimerFired(const json& fields) {
+  readInteger(fields, "Label");  // validated only: the module does not distinguish its timers
   return {};
 }
 
-AttemptOutcome parseReply(const json& fields, const LoadReportColumns& columns) {
+AttemptOutcome parseAttemptOutcome(const json& fields, const LoadReportColumns& columns) {
   AttemptOutcome outcome;
   outcome.id = readString(fields, "OpId");
   outcome.attempt = static_cast<int>(readInteger(fields, "Attempt"));
-  outcome.result = parseResult(fields);
+  outcome.result = parseAttemptResult(fields);
   outcome.finished = readBoolean(fields, "Finished", false);
   if (outcome.result == AttemptResult::throttled) {
     outcome.retry_after = readMilliseconds(fields, "Detail", 0);
   }
   outcome.round_trip_time = readMilliseconds(fields, "RttMs", 0);
-  outcome.load_report = parseGauge(fields, columns);
+  outcome.load_report = parseLoadReport(fields, columns);
   return outcome;
 }
 
-void checkCheckResult(const json& fields) {
-  parseResult(fields);
+void validateHealthCheckResult(const json& fields) {
+  parseAttemptResult(fields);
 }
 
-void checkEstablished(const json& fields) {
+void validateStreamEstablished(const json& fields) {
   readInteger(fields, "Attempt");
 }
 
@@ -215,7 +215,7 @@
         {"NotifyMe",
          {{"Who", sender_}, {"Label", last_timer_label_}, {"SpanMs", millisecondsFromMicros(timer->delay)}}}};
   }
-  return std::nullopt;  // HealthRecord: nothing outlasts a simulated process
+  return std::nullopt;  // HealthRecord: a simulated process persists nothing
 }
 
 json fatalCommand(SimulatedSenderId sender, const std::string& error) {
--- a/src/protocol/simulator_wire.h
+++ b/src/protocol/simulator_wire.h
@@ -1,7 +1,8 @@
-// The simulator's wire: its events and commands as JSON, and what they are for the decision module. The names
-// on the wire are the simulator's. Translation only: no state but the numbering of timers.
+// Translates between the JSON events and commands of the simulator and the events and actions of the decision
+// module. The names in the JSON are the simulator's; the comments below give them in quotes. The only state
+// is the number of the last timer.
 //
-// Parsing throws InvalidInput naming the field.
+// The parsing functions throw an InvalidInput that names the field.
 #pragma once
 
 #include <cstdint>
@@ -15,53 +16,64 @@
 
 namespace delivery {
 
-using SimulatedSenderId = std::int64_t;  // "Who": one of the senders that share the adapter's process
+using SimulatedSenderId = std::int64_t;  // "Who": identifies one of the senders in the adapter's process
 
-// Where the values of a load report stand in "Gauge".
+// The columns of the load report's values in the array "Gauge", counted from 0.
 struct LoadReportColumns {
-  static constexpr int kAbsent = -1;
-  int remaining_share = kAbsent;   // named "x0"
-  int limit_per_second = kAbsent;  // named "x1"
+  static constexpr int kAbsent = -1;  // the array does not hold the value
+  int remaining_share = kAbsent;      // the column called "x0" in "Options"
+  int limit_per_second = kAbsent;     // the column called "x1" in "Options"
 };
 
-// "Attach": a sender starts.
+// Event "Attach": a sender starts.
 struct SenderStart {
   std::uint64_t seed = 0;
   LoadReportColumns load_report_columns;
   Settings settings;
 };
-SenderStart parseAttach(const json& fields);
+SenderStart parseSenderStart(const json& fields);
 
-// "Roster": a numbered endpoint list, which "Members" events refer to.
-struct EndpointSheet {
-  std::int64_t number = 0;
+// Event "Roster": an endpoint list. "Members" events refer to it by its number.
+struct NumberedEndpointList {
+  std::int64_t number = 0;  // "Sheet"
   std::vector<EndpointInfo> endpoints;
 };
-EndpointSheet parseRoster(const json& fields);
+NumberedEndpointList parseEndpointList(const json& fields);
 
-// "Members": a change of the endpoint list of one sender.
-struct MembershipChange {
+// Event "Members": an update of the endpoint list of one sender.
+struct NumberedListUpdate {
   EndpointUpdateKind kind = EndpointUpdateKind::full;
-  std::optional<std::int64_t> sheet_number;  // of the EndpointSheet; none if asking for the list failed
+  // "Sheet": number of the NumberedEndpointList; std::nullopt if the request for the list failed.
+  std::optional<std::int64_t> list_number;
 };
-MembershipChange parseMembers(const json& fields);
+NumberedListUpdate parseListUpdate(const json& fields);
 
-Arrival parseCall(const json& fields);             // "Call": a message is submitted
-Abandoned parseLeft(const json& fields);           // "Left": nobody waits for a message any more
-TimerFired parseTimeoutFired(const json& fields);  // "TimeoutFired"
-AttemptOutcome parseReply(const json& fields,
-                          const LoadReportColumns& columns);  // "Reply": an attempt has ended
+// Event "Call": a client submits a message.
+Arrival parseArrival(const json& fields);
 
-// Events that the decision module has no use for; they are checked like the others.
-void checkCheckResult(const json& fields);  // "CheckResult": the module makes no health checks
-void checkEstablished(const json& fields);  // "Established": no message class has streamed answers
+// Event "Left": the client no longer waits for its message.
+Abandoned parseAbandoned(const json& fields);
+
+// Event "TimeoutFired": a timer has expired.
+TimerFired parseTimerFired(const json& fields);
+
+// Event "Reply": an attempt has ended.
+AttemptOutcome parseAttemptOutcome(const json& fields, const LoadReportColumns& columns);
+
+// The decision module does not use the following events. They are validated like the others.
+
+// Event "CheckResult": the result of a health check. The module makes no health checks.
+void validateHealthCheckResult(const json& fields);
+
+// Event "Established": a streamed response has started. No message class has streamed responses.
+void validateStreamEstablished(const json& fields);
 
 // Writes the commands of one sender.
 class SimulatorCommandWriter {
  public:
   explicit SimulatorCommandWriter(SimulatedSenderId sender) : sender_(sender) {}
 
-  // None for an action that the simulator does not need.
+  // Returns std::nullopt for an action that has no command of the simulator.
   std::optional<json> write(const Action& action);
 
  private:
@@ -69,7 +81,7 @@
   std::int64_t last_timer_label_ = 0;
 };
 
-// "Fatal": a fault in the decision module of a sender.
+// Command "Fatal": the decision module of a sender threw an exception with the text `error`.
 json fatalCommand(SimulatedSenderId sender, const std::string& error);
 
 }  // namespace delivery
--- a/tests/programs/simulator_adapter_test.cpp
+++ b/tests/programs/simulator_adapter_test.cpp
@@ -1,5 +1,5 @@
-// The simulator's adapter as a program: what it answers, and what it does with input that can't be read (one
-// plain line on standard error and a status that is not zero).
+// Tests the simulator adapter as a program: its commands, and its reaction to input that can't be read, which
+// is one line on standard error and an exit code other than 0.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -19,7 +19,8 @@
 
 struct ProgramResult {
   int exit_code = 0;
-  std::string output, errors;  // standard output and standard error
+  std::string output;  // standard output
+  std::string errors;  // standard error
 };
 
 std::string readFile(const std::string& path) {
@@ -29,7 +30,7 @@
   return content.str();
 }
 
-// Runs the adapter on this standard input until it ends.
+// Runs the adapter with `input` as its standard input and waits until it ends.
 ProgramResult runAdapter(const std::string& input, const char* adapter = SIMULATOR_ADAPTER) {
   const std::string base = ::testing::TempDir() + "simulator-adapter-" + std::to_string(::getpid());
   std::ofstream(base + ".in") << input;
@@ -86,19 +87,20 @@
             {"GiveUpAtMs", 9000.0}}}};
 }
 
-TEST(SimulatorAdapter, SendsSubmittedMessagesAndEndsWithItsInput) {
+TEST(SimulatorAdapter, SendsSubmittedMessagesAndEndsWithTheInput) {
   const ProgramResult result = runAdapter(
       batch(1000, {attach(), roster(), members(), call("00000000000000aa")}) + batch(1001, json::array()));
   EXPECT_EQ(result.exit_code, 0) << result.errors;
   std::istringstream lines(result.output);
-  std::string first, second;
+  std::string first;
+  std::string second;
   std::getline(lines, first);
   std::getline(lines, second);
   EXPECT_EQ(json::parse(first)["cmds"][0]["SubmitTo"]["OpId"], "00000000000000aa");
   EXPECT_EQ(second, R"({"cmds":[]})");
 }
 
-TEST(SimulatorAdapter, RestartInTheSameBatchKeepsNothingOfThePreviousIncarnation) {
+TEST(SimulatorAdapter, RestartInTheSameBatchDiscardsTheStateOfThePreviousIncarnation) {
   const json power_off = {{"PowerOff", {{"Who", 0}}}};
   const json late_reply = {{"Reply",
                             {{"Who", 0},
@@ -117,15 +119,15 @@
   EXPECT_EQ(result.output.find("FinishError"), std::string::npos) << result.output;
 }
 
-TEST(SimulatorAdapter, InvalidInputIsNamedOnOneLine) {
-  json mistyped = options();
-  mistyped["Categories"][0]["AimMs"] = "soon";
-  json negative = options();
-  negative["TickMs"] = -1;
-  json unlisted = members();
-  unlisted["Members"]["Sheet"] = 9;
-  json bare = call("x");
-  bare["Call"].erase("TierClass");
+TEST(SimulatorAdapter, InvalidInputIsReportedOnOneLine) {
+  json string_instead_of_number = options();
+  string_instead_of_number["Categories"][0]["AimMs"] = "soon";
+  json negative_tick = options();
+  negative_tick["TickMs"] = -1;
+  json unknown_list = members();
+  unknown_list["Members"]["Sheet"] = 9;
+  json call_without_class = call("x");
+  call_without_class["Call"].erase("TierClass");
   const std::pair<std::string, const char*> cases[] = {
       {"nonsense\n", "JSON"},
       {"[]\n", "object"},
@@ -133,11 +135,11 @@
        "\n",
        "SimTimeMs"},
       {batch(1, json::array({json{{"Surprise", {{"Who", 0}}}}})), "Surprise"},
-      {batch(1, json::array({call("x")})), "never attached"},
-      {batch(1, {attach(), unlisted}), "list number never given: 9"},
-      {batch(1, {attach(), roster(), members(), bare}), "TierClass"},
-      {batch(1, json::array({attach(mistyped)})), "AimMs"},
-      {batch(1, json::array({attach(negative)})), "tick"},
+      {batch(1, json::array({call("x")})), "sender was never attached: 0"},
+      {batch(1, {attach(), unknown_list}), "endpoint list was never received: 9"},
+      {batch(1, {attach(), roster(), members(), call_without_class}), "TierClass"},
+      {batch(1, json::array({attach(string_instead_of_number)})), "AimMs"},
+      {batch(1, json::array({attach(negative_tick)})), "tick"},
   };
   for (const auto& [input, expected] : cases) {
     const ProgramResult result = runAdapter(input);
@@ -148,7 +150,7 @@
   }
 }
 
-TEST(SimulatorAdapter, AnExceptionInTheModuleIsReportedAsFatalAndTheAdapterGoesOn) {
+TEST(SimulatorAdapter, ExceptionInTheModuleIsReportedAsFatalAndTheAdapterContinues) {
   const ProgramResult result = runAdapter(
       batch(1000, {attach(), roster(), members()}) + batch(1001, json::array()), SIMULATOR_ADAPTER_THROWING);
   EXPECT_EQ(result.exit_code, 0) << result.errors;
@@ -156,7 +158,7 @@
             "{\"cmds\":[{\"Fatal\":{\"Who\":0,\"Words\":\"tag without a message\"}}]}\n{\"cmds\":[]}\n");
 }
 
-TEST(SimulatorAdapter, HundredsOfSendersRestartedInOneBatchKeepNothing) {
+TEST(SimulatorAdapter, HundredsOfSendersRestartedInOneBatchDiscardTheirState) {
   json first_batch = json::array({roster()});
   json restart_batch = json::array();
   for (int who = 0; who < 300; ++who) {
@@ -176,16 +178,17 @@
   EXPECT_EQ(result.exit_code, 0) << result.errors;
   std::istringstream lines(result.output);
   std::string line;
-  std::size_t sends = 0, answers = 0;
+  std::size_t sends = 0;
+  std::size_t final_replies = 0;
   while (std::getline(lines, line)) {
     const json reply = json::parse(line);
     for (const json& command : reply["cmds"]) {
       sends += command.contains("SubmitTo");
-      answers += command.contains("FinishError") || command.contains("Decline");
+      final_replies += command.contains("FinishError") || command.contains("Decline");
     }
   }
   EXPECT_EQ(sends, 300u) << result.errors;
-  EXPECT_EQ(answers, 0u);  // the messages of the previous incarnation are not this one's to answer
+  EXPECT_EQ(final_replies, 0u);  // a sender must not answer messages of its previous incarnation
 }
 
 }  // namespace
--- a/tests/protocol/endpoint_list_test.cpp
+++ b/tests/protocol/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// Discovery's endpoint list: snapshots, deltas, and answers that can't be read.
+// Tests the endpoint list of the discovery service: snapshots, deltas, and responses that can't be read.
 #include "protocol/endpoint_list.h"
 
 #include <gtest/gtest.h>
@@ -6,22 +6,24 @@
 namespace delivery {
 namespace {
 
-json entry(const std::string& name, const std::string& status = "Ready") {
+json makeEntry(const std::string& name, const std::string& status = "Ready") {
   return {{"name", name}, {"address", "10.0.0.4:6379"}, {"zone", "a"},  {"type", "partner"},
           {"group", 7},   {"status", status},           {"weight", 2.5}};
 }
 
-json answer(std::int64_t index, bool is_snapshot, json endpoints) {
+json makeResponse(std::int64_t index, bool is_snapshot, json endpoints) {
   return {{"index", index}, {"snapshot", is_snapshot}, {"endpoints", std::move(endpoints)}};
 }
 
 TEST(EndpointList, SnapshotReplacesTheListAndDeltaChangesIt) {
   EndpointList list;
   EXPECT_EQ(EndpointList::kNoIndex, list.index());
-  EXPECT_EQ(EndpointUpdateKind::full, list.apply(answer(3, true, {entry("a"), entry("b")})).kind);
+  EXPECT_EQ(EndpointUpdateKind::full,
+            list.apply(makeResponse(3, true, {makeEntry("a"), makeEntry("b")})).kind);
   EXPECT_EQ(3, list.index());
 
-  const EndpointListUpdate delta = list.apply(answer(4, false, {entry("b", "Gone"), entry("c")}));
+  const EndpointListUpdate delta =
+      list.apply(makeResponse(4, false, {makeEntry("b", "Gone"), makeEntry("c")}));
   EXPECT_EQ(EndpointUpdateKind::delta, delta.kind);
   ASSERT_EQ(2u, delta.endpoints.size());
   EXPECT_EQ(EndpointState::removed, delta.endpoints[0].endpoint.state);
@@ -29,14 +31,15 @@
   EXPECT_FALSE(list.contains("b"));
   EXPECT_TRUE(list.contains("c"));
 
-  list.apply(answer(5, true, json::array({entry("d", "Terminating")})));
+  list.apply(makeResponse(5, true, json::array({makeEntry("d", "Terminating")})));
   EXPECT_FALSE(list.contains("a"));
   EXPECT_TRUE(list.contains("d"));
 }
 
-TEST(EndpointList, AnEntryIsReadWithAllItsFields) {
+TEST(EndpointList, AllFieldsOfAnEntryAreRead) {
   EndpointList list;
-  const EndpointListUpdate update = list.apply(answer(1, true, json::array({entry("a", "Terminating")})));
+  const EndpointListUpdate update =
+      list.apply(makeResponse(1, true, json::array({makeEntry("a", "Terminating")})));
   ASSERT_EQ(1u, update.endpoints.size());
   const ListedEndpoint& listed = update.endpoints[0];
   EXPECT_EQ("a", listed.endpoint.id);
@@ -48,11 +51,11 @@
   EXPECT_EQ("10.0.0.4:6379", listed.address);
 }
 
-TEST(EndpointList, ItsJsonRestoresItWithFieldsThatAreNotKnownHere) {
+TEST(EndpointList, JsonRestoresTheListIncludingUnknownFields) {
   EndpointList list;
-  json unknown_field = entry("a");
-  unknown_field["since_ms"] = 12;
-  list.apply(answer(9, true, json::array({unknown_field})));
+  json entry_with_unknown_field = makeEntry("a");
+  entry_with_unknown_field["since_ms"] = 12;
+  list.apply(makeResponse(9, true, json::array({entry_with_unknown_field})));
   EndpointList restored;
   restored.apply(list.toJson());
   EXPECT_EQ(9, restored.index());
@@ -60,15 +63,16 @@
   EXPECT_EQ(12, restored.toJson()["endpoints"][0]["since_ms"]);
 }
 
-TEST(EndpointList, AnAnswerThatCannotBeReadChangesNothing) {
+TEST(EndpointList, UnreadableResponseLeavesTheListUnchanged) {
   EndpointList list;
-  list.apply(answer(3, true, json::array({entry("a")})));
+  list.apply(makeResponse(3, true, json::array({makeEntry("a")})));
   const json before = list.toJson();
-  json no_group = entry("b");
-  no_group.erase("group");
-  for (const json& unreadable :
-       {json(7), json::object(), json{{"index", 4}, {"endpoints", 5}}, answer(4, true, {entry("b"), 5}),
-        answer(4, true, {entry("b"), entry("c", "Sleeping")}), answer(4, true, {entry("c"), no_group})}) {
+  json entry_without_group = makeEntry("b");
+  entry_without_group.erase("group");
+  for (const json& unreadable : {json(7), json::object(), json{{"index", 4}, {"endpoints", 5}},
+                                 makeResponse(4, true, {makeEntry("b"), 5}),
+                                 makeResponse(4, true, {makeEntry("b"), makeEntry("c", "Sleeping")}),
+                                 makeResponse(4, true, {makeEntry("c"), entry_without_group})}) {
     EXPECT_THROW(list.apply(unreadable), InvalidInput) << unreadable;
     EXPECT_EQ(before, list.toJson()) << unreadable;
   }
--- a/tests/protocol/handover_messages_test.cpp
+++ b/tests/protocol/handover_messages_test.cpp
@@ -1,4 +1,4 @@
-// The lines on the handover link: bytes that processes of earlier versions write and read.
+// Tests the lines on the handover link. Processes of earlier versions write and read the same bytes.
 #include "protocol/handover_messages.h"
 
 #include <gtest/gtest.h>
@@ -11,13 +11,13 @@
 namespace delivery {
 namespace {
 
-std::vector<PredecessorMessage> predecessorMessages(const std::string& line) {
+std::vector<PredecessorMessage> decodePredecessor(const std::string& line) {
   std::vector<PredecessorMessage> messages;
   decodePredecessorLine(line, [&](const PredecessorMessage& message) { messages.push_back(message); });
   return messages;
 }
 
-std::vector<SuccessorMessage> successorMessages(const std::string& line) {
+std::vector<SuccessorMessage> decodeSuccessor(const std::string& line) {
   std::vector<SuccessorMessage> messages;
   decodeSuccessorLine(line, [&](const SuccessorMessage& message) { messages.push_back(message); });
   return messages;
@@ -33,7 +33,7 @@
   return outcome;
 }
 
-TEST(HandoverMessages, PredecessorLinesHaveTheirFixedForm) {
+TEST(HandoverMessages, PredecessorMessagesAreEncodedInTheFixedFormat) {
   EXPECT_EQ(R"({"release":[]})", encodeHandoverMessage(PredecessorMessage{OwnershipReleased{}}));
   EXPECT_EQ(R"({"release":[["a",0],["b",3]]})",
             encodeHandoverMessage(PredecessorMessage{OwnershipReleased{{{"a", 0}, {"b", 3}}}}));
@@ -49,7 +49,7 @@
       encodeHandoverMessage(PredecessorMessage{outcome}));
 }
 
-TEST(HandoverMessages, SuccessorLinesHaveTheirFixedForm) {
+TEST(HandoverMessages, SuccessorMessagesAreEncodedInTheFixedFormat) {
   EXPECT_EQ(R"({"serving":true})", encodeHandoverMessage(SuccessorMessage{SuccessorServing{}}));
   EXPECT_EQ(R"({"cancel":["m",1]})", encodeHandoverMessage(SuccessorMessage{CancelCall{{"m", 1}}}));
   EXPECT_EQ(R"({"held":"e1"})", encodeHandoverMessage(SuccessorMessage{EndpointDrainingNotice{"e1"}}));
@@ -57,8 +57,8 @@
             encodeHandoverMessage(SuccessorMessage{RetryAfterNotice{"e1", 7}}));
 }
 
-// A text that is not UTF-8 can come from a client as the id of its message.
-TEST(HandoverMessages, TextThatIsNotUtf8IsReplaced) {
+// A client may submit a message whose id is not UTF-8.
+TEST(HandoverMessages, InvalidUtf8IsReplaced) {
   EXPECT_EQ("{\"cancel\":[\"\xEF\xBF\xBD\",0]}",
             encodeHandoverMessage(SuccessorMessage{CancelCall{{"\xFF", 0}}}));
 }
@@ -71,14 +71,14 @@
   for (const auto& [result, code] : codes) {
     const std::string line = encodeHandoverMessage(PredecessorMessage{sampleOutcome(result)});
     EXPECT_NE(std::string::npos, line.find("\"result\":" + std::to_string(code) + ",")) << line;
-    const auto messages = predecessorMessages(line);
+    const auto messages = decodePredecessor(line);
     ASSERT_EQ(1U, messages.size());
     EXPECT_EQ(result, std::get<AttemptOutcome>(messages[0]).result);
   }
 }
 
-// An exchange of two processes of an earlier version, see tests/data/README.md.
-TEST(HandoverMessages, RecordedLinesAreDecodedAndEncodedToTheSameBytes) {
+// The recording holds the exchange of two processes of an earlier version, see tests/data/README.md.
+TEST(HandoverMessages, RecordedLinesAreEncodedToTheSameBytesAfterDecoding) {
   std::ifstream recording(std::string(TEST_DATA_DIR) + "/handover/exchange.jsonl");
   ASSERT_TRUE(recording);
   int lines = 0;
@@ -86,11 +86,11 @@
     const json recorded = json::parse(record);
     const std::string line = recorded.at("line");
     if (recorded.at("from") == "older") {
-      const auto messages = predecessorMessages(line);
+      const auto messages = decodePredecessor(line);
       ASSERT_EQ(1U, messages.size()) << line;
       EXPECT_EQ(line, encodeHandoverMessage(messages[0]));
     } else {
-      const auto messages = successorMessages(line);
+      const auto messages = decodeSuccessor(line);
       ASSERT_EQ(1U, messages.size()) << line;
       EXPECT_EQ(line, encodeHandoverMessage(messages[0]));
     }
@@ -98,8 +98,8 @@
   EXPECT_GT(lines, 20);
 }
 
-TEST(HandoverMessages, DecodesAllFieldsOfAnOutcome) {
-  const auto messages = predecessorMessages(
+TEST(HandoverMessages, AllFieldsOfAnOutcomeAreDecoded) {
+  const auto messages = decodePredecessor(
       R"({"outcome":{"attempt":1,"finished":true,"id":"m","report":[0.5,20],"result":5,"rtt":7,"still_out":true,"wait":9}})");
   ASSERT_EQ(1U, messages.size());
   const auto& outcome = std::get<AttemptOutcome>(messages[0]);
@@ -115,42 +115,41 @@
   EXPECT_EQ(20, outcome.load_report->limit_per_second);
 }
 
-// A version before `still_out` does not send it.
+// Versions that are older than the field `still_out` do not send it.
 TEST(HandoverMessages, OptionalFieldsOfAnOutcomeMayBeMissing) {
-  const auto messages = predecessorMessages(
-      R"({"outcome":{"attempt":1,"finished":false,"id":"m","result":0,"rtt":7,"wait":9}})");
+  const auto messages =
+      decodePredecessor(R"({"outcome":{"attempt":1,"finished":false,"id":"m","result":0,"rtt":7,"wait":9}})");
   ASSERT_EQ(1U, messages.size());
   EXPECT_FALSE(std::get<AttemptOutcome>(messages[0]).still_in_flight);
   EXPECT_FALSE(std::get<AttemptOutcome>(messages[0]).load_report);
 }
 
-TEST(HandoverMessages, UnknownKeysAndLinesThatAreNoObjectsAreIgnored) {
+TEST(HandoverMessages, UnknownKeysAndLinesThatAreNotObjectsAreIgnored) {
   for (const char* line : {"", "nonsense", "7", "[1]", "{}", R"({"later":1})", R"({"release":null})",
                            R"({"serving":null,"held":null,"cancel":null})"}) {
-    EXPECT_TRUE(predecessorMessages(line).empty()) << line;
-    EXPECT_TRUE(successorMessages(line).empty()) << line;
+    EXPECT_TRUE(decodePredecessor(line).empty()) << line;
+    EXPECT_TRUE(decodeSuccessor(line).empty()) << line;
   }
-  EXPECT_EQ(1U, successorMessages(R"({"later":1,"serving":true})").size());
-  EXPECT_TRUE(predecessorMessages(R"({"serving":true})").empty());  // of the other side
-  EXPECT_TRUE(successorMessages(R"({"release":[]})").empty());
+  EXPECT_EQ(1U, decodeSuccessor(R"({"later":1,"serving":true})").size());
+  EXPECT_TRUE(decodePredecessor(R"({"serving":true})").empty());  // a message of the successor
+  EXPECT_TRUE(decodeSuccessor(R"({"release":[]})").empty());
 }
 
-TEST(HandoverMessages, SeveralKeysInOneLineAreSeveralMessagesInAFixedOrder) {
-  const auto successor =
-      successorMessages(R"({"cancel":["m",0],"destination":7,"held":"e1","serving":true})");
+TEST(HandoverMessages, SeveralKeysInOneLineAreDecodedAsMessagesInAFixedOrder) {
+  const auto successor = decodeSuccessor(R"({"cancel":["m",0],"destination":7,"held":"e1","serving":true})");
   ASSERT_EQ(3U, successor.size());
   EXPECT_TRUE(std::holds_alternative<SuccessorServing>(successor[0]));
   EXPECT_EQ(7, std::get<RetryAfterNotice>(successor[1]).destination);
   EXPECT_EQ((CallId{"m", 0}), std::get<CancelCall>(successor[2]).call);
-  const auto predecessor = predecessorMessages(
+  const auto predecessor = decodePredecessor(
       R"({"outcome":{"attempt":0,"finished":false,"id":"m","result":0,"rtt":0,"wait":0},"release":[["m",0]]})");
   ASSERT_EQ(2U, predecessor.size());
   EXPECT_EQ(1U, std::get<OwnershipReleased>(predecessor[0]).calls_in_flight.size());
   EXPECT_TRUE(std::holds_alternative<AttemptOutcome>(predecessor[1]));
 }
 
-// What stands before the part that can't be read has been handled.
-TEST(HandoverMessages, AnErrorComesAfterTheMessagesBeforeIt) {
+// The messages of a line that precede the unreadable one are handled before the error is thrown.
+TEST(HandoverMessages, MessagesBeforeAnUnreadableOneAreHandled) {
   int messages = 0;
   EXPECT_THROW(decodeSuccessorLine(R"({"cancel":7,"serving":true})",
                                    [&](const SuccessorMessage& /*message*/) { ++messages; }),
@@ -158,7 +157,7 @@
   EXPECT_EQ(1, messages);
 }
 
-TEST(HandoverMessages, MessagesThatCannotBeReadAreErrorsWithTheField) {
+TEST(HandoverMessages, ErrorsForUnreadableMessagesNameTheField) {
   struct Case {
     const char* line;
     const char* field;
@@ -166,19 +165,19 @@
   };
   const std::vector<Case> from_predecessor{
       {R"({"release":7})", "release", "not an array: release"},
-      {R"({"release":[["m"]]})", "", "not a call"},
-      {R"({"release":[["m",0.5]]})", "", "not a call"},
+      {R"({"release":[["m"]]})", "", "call is not [message id, attempt number]"},
+      {R"({"release":[["m",0.5]]})", "", "call is not [message id, attempt number]"},
       {R"({"outcome":{}})", "id", "missing field id"},
       {R"({"outcome":{"attempt":0,"finished":false,"id":"m","result":8,"rtt":0,"wait":0}})", "result",
-       "not a result"},
+       "unknown result code"},
       {R"({"outcome":{"attempt":0,"finished":false,"id":"m","result":-1,"rtt":0,"wait":0}})", "result",
-       "not a result"},
+       "unknown result code"},
       {R"({"outcome":{"attempt":0,"finished":false,"id":"m","report":[1],"result":0,"rtt":0,"wait":0}})",
-       "report", "not a report"},
+       "report", "load report is not [remaining share, limit per second]"},
   };
   for (const Case& c : from_predecessor) {
     try {
-      predecessorMessages(c.line);
+      decodePredecessor(c.line);
       ADD_FAILURE() << c.line;
     } catch (const InvalidInput& error) {
       EXPECT_EQ(c.field, error.field()) << c.line;
@@ -187,7 +186,7 @@
   }
   for (const char* line :
        {R"({"cancel":7})", R"({"cancel":[0,"m"]})", R"({"held":7})", R"({"destination":"x","held":"e1"})"}) {
-    EXPECT_THROW(successorMessages(line), InvalidInput) << line;
+    EXPECT_THROW(decodeSuccessor(line), InvalidInput) << line;
   }
 }
 
--- /dev/null
+++ b/tests/protocol/json_fields_test.cpp
@@ -0,0 +1,57 @@
+// Tests the reading of single JSON fields that are missing, null or of the wrong type.
+#include "protocol/json_fields.h"
+
+#include <gtest/gtest.h>
+
+#include <functional>
+#include <string>
+#include <vector>
+
+namespace delivery {
+namespace {
+
+// Operators find these texts in the log and in the error output of the simulator adapter.
+TEST(JsonFields, ErrorsNameTheFieldAndTheProblem) {
+  const json object{{"name", "a"}, {"null", nullptr}, {"word", "unknown"}};
+  const EnumName<bool> names[] = {{"yes", true}, {"no", false}};
+  struct Case {
+    std::function<void()> read;
+    InputProblem problem;
+    const char* field;
+    const char* message;
+  };
+  const std::vector<Case> cases{
+      {[&] { readNumber(object, "count"); }, InputProblem::missing, "count", "missing field count"},
+      {[&] { readNumber(object, "name"); }, InputProblem::wrong_type, "name", "not a number: name"},
+      {[&] { readInteger(object, "name"); }, InputProblem::wrong_type, "name", "not a whole number: name"},
+      {[&] { readString(object, "null"); }, InputProblem::wrong_type, "null", "not a text: null"},
+      {[&] { readBoolean(object, "name"); }, InputProblem::wrong_type, "name", "not true or false: name"},
+      {[&] { readArray(object, "name"); }, InputProblem::wrong_type, "name", "not an array: name"},
+      {[&] { readObject(object, "name"); }, InputProblem::wrong_type, "name", "not an object: name"},
+      {[&] { enumFromName(readString(object, "word"), names, "word"); }, InputProblem::unknown_value, "word",
+       "unknown value of word: unknown"},
+  };
+  for (const Case& c : cases) {
+    try {
+      c.read();
+      ADD_FAILURE() << c.message;
+    } catch (const InvalidInput& error) {
+      EXPECT_EQ(c.problem, error.problem()) << c.message;
+      EXPECT_EQ(c.field, error.field()) << c.message;
+      EXPECT_STREQ(c.message, error.what());
+    }
+  }
+}
+
+TEST(JsonFields, MissingAndNullFieldsHaveTheDefaultValue) {
+  const json object{{"null", nullptr}, {"delay", 1.5}};
+  EXPECT_EQ(7, readNumber(object, "count", 7));
+  EXPECT_EQ("other", readString(object, "null", "other"));
+  EXPECT_TRUE(readBoolean(object, "null", true));
+  EXPECT_EQ(1500, readMilliseconds(object, "delay", 20));
+  EXPECT_EQ(20, readMilliseconds(object, "null", 20));
+  EXPECT_TRUE(readOptionalObject(object, "null").empty());
+}
+
+}  // namespace
+}  // namespace delivery
--- a/tests/protocol/message_request_test.cpp
+++ b/tests/protocol/message_request_test.cpp
@@ -1,4 +1,4 @@
-// The requests of clients: what is read from them, and the reply to each kind of error.
+// Tests the parsing of client requests and the reply to each kind of error.
 #include "protocol/message_request.h"
 
 #include <gtest/gtest.h>
@@ -11,17 +11,17 @@
 
 const std::string kFields = "c=order,d=8000,dest=7";
 
-ClientRequest messageWith(const std::string& fields, const std::string& id = "m") {
+ClientRequest parseMessageWith(const std::string& fields, const std::string& id = "m") {
   return parseClientRequest({"MSG.PUT", "0", id, fields, "body"});
 }
 
-// Empty if the request is in proper form.
+// The reply to an invalid request; empty if the request is valid.
 std::string errorOf(const ClientRequest& request) {
   const auto* error = std::get_if<RequestError>(&request);
   return error == nullptr ? "" : errorReply(*error);
 }
 
-TEST(MessageRequest, HasAllThatAClientNames) {
+TEST(MessageRequest, AllFieldsOfAMessageAreRead) {
   const ClientRequest request = parseClientRequest(
       {"msg.put", "00a0", "id-1", "c=order,t=shop,d=8000,dest=7,k=key,again=1,unknown=x", "any body"});
   const auto* message = std::get_if<SubmittedMessage>(&request);
@@ -37,7 +37,7 @@
   EXPECT_EQ("any body", message->body);
 }
 
-TEST(MessageRequest, WithoutOrderKeyOrRetryFlagIsNeitherOrderedNorARetry) {
+TEST(MessageRequest, MessageWithoutOrderKeyAndRetryFlagIsUnorderedAndNoRetry) {
   for (const char* fields : {"c=order,d=1,dest=0", "c=order,d=1,dest=0,r=0"}) {
     const ClientRequest request = parseClientRequest({"MSG.PUT", "0000", "m", fields, ""});
     const auto* message = std::get_if<SubmittedMessage>(&request);
@@ -47,26 +47,26 @@
   }
 }
 
-TEST(MessageRequest, InErrorHasTheReplyOfTheProtocol) {
-  EXPECT_EQ("", errorOf(messageWith(kFields)));
+TEST(MessageRequest, EachErrorHasTheReplyOfTheProtocol) {
+  EXPECT_EQ("", errorOf(parseMessageWith(kFields)));
   EXPECT_EQ("-ERR wrong number of arguments", errorOf(parseClientRequest({"MSG.PUT", "0", "m", kFields})));
-  EXPECT_EQ("-ERR malformed id", errorOf(messageWith(kFields, "")));
-  EXPECT_EQ("-ERR malformed id", errorOf(messageWith(kFields, "a b")));
-  EXPECT_EQ("-ERR malformed list of values", errorOf(messageWith(kFields + ",x")));
-  EXPECT_EQ("-ERR malformed list of values", errorOf(messageWith("c=order,,d=8000,dest=7")));
+  EXPECT_EQ("-ERR malformed id", errorOf(parseMessageWith(kFields, "")));
+  EXPECT_EQ("-ERR malformed id", errorOf(parseMessageWith(kFields, "a b")));
+  EXPECT_EQ("-ERR malformed list of values", errorOf(parseMessageWith(kFields + ",x")));
+  EXPECT_EQ("-ERR malformed list of values", errorOf(parseMessageWith("c=order,,d=8000,dest=7")));
   for (const char* time_to_live : {"", "0", "-1", "8s", "86400001", "1234567890123456789"}) {
-    EXPECT_EQ("-ERR malformed d", errorOf(messageWith("c=order,dest=7,d=" + std::string(time_to_live))));
+    EXPECT_EQ("-ERR malformed d", errorOf(parseMessageWith("c=order,dest=7,d=" + std::string(time_to_live))));
   }
-  EXPECT_EQ("", errorOf(messageWith("c=order,dest=7,d=86400000")));
-  EXPECT_EQ("-ERR malformed dest", errorOf(messageWith("c=order,d=8000,dest=x")));
-  EXPECT_EQ("-ERR malformed k", errorOf(messageWith(kFields + ",k=a\r\nb")));
-  EXPECT_EQ("-ERR malformed k", errorOf(messageWith(kFields + ",k=a\x7f")));
-  EXPECT_EQ("-ERR no class", errorOf(messageWith("d=8000,dest=7")));
-  EXPECT_EQ("-ERR no d", errorOf(messageWith("c=order,dest=7")));
-  EXPECT_EQ("-ERR no dest", errorOf(messageWith("c=order,d=8000")));
+  EXPECT_EQ("", errorOf(parseMessageWith("c=order,dest=7,d=86400000")));
+  EXPECT_EQ("-ERR malformed dest", errorOf(parseMessageWith("c=order,d=8000,dest=x")));
+  EXPECT_EQ("-ERR malformed k", errorOf(parseMessageWith(kFields + ",k=a\r\nb")));
+  EXPECT_EQ("-ERR malformed k", errorOf(parseMessageWith(kFields + ",k=a\x7f")));
+  EXPECT_EQ("-ERR no class", errorOf(parseMessageWith("d=8000,dest=7")));
+  EXPECT_EQ("-ERR no d", errorOf(parseMessageWith("c=order,dest=7")));
+  EXPECT_EQ("-ERR no dest", errorOf(parseMessageWith("c=order,d=8000")));
 }
 
-TEST(ClientRequest, IsAPingOrUnknown) {
+TEST(MessageRequest, PingHasNoArgumentsAndOtherCommandsAreUnknown) {
   EXPECT_TRUE(std::holds_alternative<PingRequest>(parseClientRequest({"ping"})));
   EXPECT_EQ("-ERR wrong number of arguments", errorOf(parseClientRequest({"PING", "x"})));
   EXPECT_EQ("-ERR unknown command", errorOf(parseClientRequest({"GET", "x"})));
--- a/tests/protocol/submit_reply_test.cpp
+++ b/tests/protocol/submit_reply_test.cpp
@@ -1,4 +1,4 @@
-// The replies to a submitted message, as clients read them.
+// Tests the replies to a submitted message.
 #include "protocol/submit_reply.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace delivery {
 namespace {
 
-TEST(SubmitReply, EachStatusHasItsLine) {
+TEST(SubmitReply, EachStatusHasItsReplyLine) {
   EXPECT_EQ("+OK", toRespLine({SubmitStatus::accepted}));
   EXPECT_EQ("-ERR given up", toRespLine({SubmitStatus::failed}));
   EXPECT_EQ("-ERR unknown class", toRespLine({SubmitStatus::unknown_class}));
@@ -14,14 +14,14 @@
   EXPECT_EQ("-ERR handed in twice", toRespLine({SubmitStatus::duplicate}));
 }
 
-TEST(SubmitReply, BusyNamesThePauseInMillisecondsRoundedUp) {
+TEST(SubmitReply, BusyStatesThePauseInMillisecondsRoundedUp) {
   EXPECT_EQ("-BUSY", toRespLine({SubmitStatus::busy}));
   EXPECT_EQ("-BUSY 1", toRespLine({SubmitStatus::busy, 1}));
   EXPECT_EQ("-BUSY 250", toRespLine({SubmitStatus::busy, 250'000}));
   EXPECT_EQ("-BUSY 251", toRespLine({SubmitStatus::busy, 250'001}));
 }
 
-TEST(SubmitReply, OnlyAcceptedAndBusyAreUseful) {
+TEST(SubmitReply, ErrorsAreNeitherAcceptedNorBusy) {
   EXPECT_TRUE(isAcceptedOrBusy({SubmitStatus::accepted}));
   EXPECT_TRUE(isAcceptedOrBusy({SubmitStatus::busy, 1}));
   for (const SubmitStatus status : {SubmitStatus::failed, SubmitStatus::unknown_class,
