--- a/src/common/find.h
+++ b/src/common/find.h
@@ -1,9 +1,9 @@
-// Looks a key up in a map without a comparison with its end.
+// Looks a key up in a map.
 #pragma once
 
 namespace delivery {
 
-// Returns a pointer to the value of `key` in `map`, null if there is none.
+// Returns a pointer to the value of `key` in `map`, or null if the map does not hold the key.
 template <class Map, class Key>
 auto findOrNull(Map& map, const Key& key) {
   auto found = map.find(key);
--- a/src/decision/admission_control.h
+++ b/src/decision/admission_control.h
@@ -6,8 +6,8 @@
 
 namespace delivery {
 
-// The longest wait for a call slot, as a share of the shortest latency objective. Beyond it messages are
-// shed.
+// The longest wait for a call slot, as a share of the shortest latency objective. Messages are shed while the
+// wait is longer.
 constexpr double kMaxSlotWaitShare = 0.5;
 
 // While the wait for a slot is too long, messages are shed that would keep less of their value than this.
@@ -22,13 +22,14 @@
 // The share of max_messages that is kept free for more valuable messages.
 constexpr double kReservedCapacityShare = 0.06;
 
-// The weight of the present value of a message beside the value that it loses or keeps by waiting. It is so
-// small that it only decides between messages that are equal otherwise.
+// The weight of the present value of a message beside the value that it loses or keeps by waiting. It is
+// small, so that it decides only between messages that are nearly equal otherwise.
 constexpr double kPresentValueWeight = 1e-3;
 
-// A message that may be shed. The smallest is shed first.
+// A message that may be shed. The candidate with the smallest key is shed first.
 struct ShedCandidate {
-  // The value that is left when the backlog has drained, and the cost of a rejection.
+  // The value that is left when the backlog has drained, plus the cost of a rejection and the present value
+  // times kPresentValueWeight.
   double retained_value;
   Message* message;
   auto key() const { return std::tie(retained_value, message->sequence_number); }
--- a/src/decision/connection_reuse.h
+++ b/src/decision/connection_reuse.h
@@ -9,8 +9,8 @@
 
 namespace delivery {
 
-// With more signs than this, long idle connections are taken for stale. The signs decay over the slow start
-// time. With many senders half as many suffice, as each of them sees fewer.
+// With more signs than this, connections that have been idle for long are assumed to be stale. The signs
+// decay over the slow start time. With many senders the bound is half of this.
 constexpr double kMinStaleSigns = 2.5;
 
 // For how long a sign or a connect failure counts, in slow start times.
@@ -26,15 +26,17 @@
   DecisionContext& context;
   // The number of signs of stale connections, decayed.
   double stale_signs = 0;
-  // The shortest idle time after which a connection seems to be stale. kNever: none does.
+  // The shortest idle time after which a connection seems to be stale. kNever: no connection seems to be.
   Micros shortest_stale_idle_time = kNever;
   Micros last_sign_at = kLongAgo;
 
+  // Closes all idle connections to the endpoint.
   void closeIdleConnections(Endpoint& endpoint) {
     context.actions.emplace_back(CloseIdleConnections{endpoint.info.id});
     endpoint.idle_connections.clear();
   }
 
+  // Whether a sign or a connect failure at `moment` still counts.
   bool isRecent(Micros moment) const {
     return context.now - moment < kSignSlowStartTimes * context.settings.slow_start_time;
   }
@@ -48,7 +50,7 @@
     }
     const bool stale_connections_likely =
         stale_signs > kMinStaleSigns / (context.hasManySenders() ? 2 : 1) && isRecent(last_sign_at);
-    // Half of the shortest stale idle time leaves a margin.
+    // Connections are closed from half of the shortest stale idle time on.
     if (stale_connections_likely && !idle_since.empty() &&
         context.now - idle_since.front() >= shortest_stale_idle_time / 2) {
       closeIdleConnections(endpoint);
@@ -97,9 +99,9 @@
   }
 
   // Records a call that was answered on a connection that had been idle for `idle_time`.
-  // `lost_call_idle_time` is that of the destination, see there.
+  // `lost_call_idle_time` is Destination::lost_call_idle_time of its destination.
   void recordSuccess(Micros& lost_call_idle_time, Micros idle_time) {
-    // Connections live longer than suspected.
+    // The call shows that connections live longer than was assumed.
     if (idle_time >= shortest_stale_idle_time) {
       stale_signs = 0;
       shortest_stale_idle_time = kNever;
--- a/src/decision/endpoint_directory.h
+++ b/src/decision/endpoint_directory.h
@@ -6,7 +6,8 @@
 
 namespace delivery {
 
-// The pause after failed polls doubles this often, up to the bound that poll_interval sets.
+// The pause doubles with each failed poll in a row, at most this many times. poll_interval is its upper
+// bound.
 constexpr int kMaxPollBackoffDoublings = 6;
 
 // The pause before any doubling, as a divisor of poll_interval: 2 to the power of the doublings.
@@ -24,12 +25,12 @@
   const RateLimiter& limiter;
   // When to poll for the list. kNever: it is not polled for, as it is pushed or a poll is under way.
   Micros poll_at = context.settings.discovery_mode == DiscoveryMode::poll ? 0 : kNever;
-  // Consecutive ones, counted up to kMaxPollBackoffDoublings.
+  // The number of consecutive failed polls, counted up to kMaxPollBackoffDoublings.
   int failed_polls = 0;
   // All endpoints that were ever listed, by their id.
   std::map<std::string, Endpoint> endpoints{};
   std::map<std::int64_t, Destination> destinations{};
-  // The kind of endpoints whose kind is not in the settings.
+  // The kind of the endpoints whose listed kind is not in the settings.
   DestinationKind default_kind{};
 
   // Returns the destination with this id, a new one if it is not known.
--- a/src/decision/outlier_detection.h
+++ b/src/decision/outlier_detection.h
@@ -6,11 +6,11 @@
 
 namespace delivery {
 
-// So many failures, throttled calls or overdue calls show that nothing is served. With many senders one
-// failure does.
+// This many failures in a row, throttled calls in a row or overdue calls show that nothing is served, and the
+// scope is ejected. With many senders one failure is enough.
 constexpr int kFailuresToEject = 3;
 
-// With a larger share of failures in the latest outcomes a scope is ejected.
+// A scope is ejected if a larger share of its latest outcomes are failures.
 constexpr double kMaxFailureShare = 0.5;
 
 // The weight of the newest outcome in the shares of HealthStats.
@@ -26,7 +26,7 @@
 // An endpoint is compared with others only if its baseline has more latency samples than this.
 constexpr int kMinLatencySamples = 4;
 
-// A common slowdown is measured only over so many endpoints or more.
+// The common slowdown is measured only if at least this many endpoints can be compared.
 constexpr std::size_t kMinEndpointsToCompare = 3;
 
 // An endpoint counts as recently active for this many overload windows after its latest outcome.
@@ -38,7 +38,7 @@
 // A call is overdue if there is no answer after this ratio x the common slowdown x the baseline latency.
 constexpr double kOverdueRatio = 4;
 
-// The share of the call slots for the calls to all outliers together. It is one slot at least.
+// All outliers together may use this share of the call slots, but at least one slot.
 constexpr double kBulkheadShare = 0.5;
 
 // Records outcomes and latencies, and decides which endpoints are outliers or ejected.
--- a/src/decision/rate_limiter.h
+++ b/src/decision/rate_limiter.h
@@ -8,21 +8,22 @@
 
 namespace delivery {
 
-// The calls of this span may be sent in one burst.
+// A burst may hold the calls of this span, which are then sent at once.
 constexpr double kBurstSeconds = 0.5;
 
 // The largest share of a limit that a sender claims for its own traffic, if an even share is not larger.
 constexpr double kMaxLimitShare = 0.25;
 
-// The initial quota, in the shares that claimedShare() returns.
+// The initial quota, as a multiple of the claimed share; see claimedShare().
 constexpr double kInitialQuotaShares = 2;
 
-// A throttled call multiplies the quota, or an estimated limit, by this factor. The quota does not fall below
-// this many shares.
+// A throttled call multiplies the quota, or an estimated limit, by this factor.
 constexpr double kDecreaseFactor = 0.75;
+
+// The smallest quota after throttled calls, as a multiple of the claimed share.
 constexpr double kMinQuotaShares = 0.5;
 
-// The additive increase of the quota in each overload window, in shares.
+// The additive increase of the quota in each overload window, as a multiple of the claimed share.
 constexpr double kQuotaIncreaseShares = 0.05;
 
 // The relative growth of an estimated limit for each call that was not throttled, and its upper bound.
@@ -150,7 +151,7 @@
       const double allowed = allowedRate(scope, scope.rate.limit, ownRate(*endpoint));
       rate = endpoint->hasOwnRoute() ? rate + allowed : allowed;
     }
-    // 1e-6 calls a second stand for a rate of 0, which can't be divided by.
+    // A smaller rate than 1e-6 calls a second is replaced by it, as a rate of 0 can't be divided by.
     const double wait = destination.queued_messages.size() * kMicrosPerSecond / std::max(rate, 1e-6);
     return static_cast<Micros>(std::clamp<double>(wait, context.settings.tick, kMaxDrainTime));
   }
@@ -223,7 +224,7 @@
           health.latency_samples > 0 ? health.baseline_latency : context.shortest_latency_objective;
       rate.limit_is_estimated = true;
       rate.quota_fraction = 1;
-      // One call after the other is possible at least.
+      // The estimate is at least the rate at which single calls would follow one another.
       rate.limit = std::max(served_rate, kMicrosPerSecond / std::max(1.0, latency));
       rate.quota_updated_at = context.now;
     }
--- a/src/decision/scheduler.cpp
+++ b/src/decision/scheduler.cpp
@@ -22,7 +22,7 @@
 
   // The messages of one order key, which are sent one at a time.
   struct OrderQueue {
-    // In the order of arrival. The first one may be sent, or is in flight.
+    // The messages in the order of arrival. Only the first one may be sent or be in flight.
     std::deque<Message*> messages;
     // No first attempt is started before this moment.
     Micros paused_until = 0;
@@ -54,9 +54,9 @@
   AdmissionControl admission{context, detector, limiter, fair_queue};
   // The messages that have not ended, or have an attempt in flight, by their id.
   std::map<std::string, Message> messages;
-  // By order key.
+  // The order queues by their order key.
   std::map<std::string, OrderQueue> order_queues;
-  // One for each message that has not ended, the earliest first.
+  // Holds one entry for each message that has not ended, the earliest expiry first.
   std::set<Expiry> expiries;
   std::uint64_t last_sequence_number = 0;
   // The number of messages that have not ended.
@@ -77,7 +77,8 @@
       detector.recordLatency(scope.health, latency, ok);
     }
     const bool ejection_changed = detector.recordOutcome(scope.health, result);
-    // A scope that serves again may be used at once. One that is ejected has no burst left.
+    // A scope that serves again may be used at once. The tag of an ejected scope is moved up to now at
+    // least.
     if (ejection_changed) {
       next_send_tag = ok ? context.now : std::max<double>(next_send_tag, context.now);
     }
@@ -118,7 +119,7 @@
       const Micros until = context.now + retry_after + static_cast<Micros>(return_delay);
       scope.rate.retry_after_until = std::max(scope.rate.retry_after_until, until);
     }
-    // Small changes of the start of warming up are not worth a record.
+    // If the start of warming up moved by no more than half an overload window, this alone causes no record.
     const bool warming_start_changed =
         std::abs(health.warming_since - health.persisted_warming_since) > window / 2;
     if (health.ejected == was_ejected && retry_after <= 0 && !warming_start_changed) {
@@ -165,8 +166,8 @@
     if (!endpoint.isReady() || !retry_policy.maySend(message, endpoint)) {
       return false;
     }
-    // Before a shutdown only calls are started whose outcome will arrive in time.
-    // The outcome is expected within this many baseline latencies.
+    // Before a shutdown only calls are started whose outcome will arrive in time. It is expected within
+    // `answer_time_ratio` baseline latencies.
     const double answer_time_ratio = kOverdueRatio * kNonIdempotentTimeoutFactor * detector.common_slowdown;
     const bool outcome_arrives_in_time =
         shutdown_at - context.now >= answer_time_ratio * detector.baselineLatency(endpoint);
@@ -285,7 +286,7 @@
         fillCall(*destination, *endpoint);
         return true;
       }
-      // It stays blocked for this round, as a call to another destination does not unblock it.
+      // The destination stays blocked for this round, as a call to another destination does not unblock it.
       destination->blocked_at = context.now;
     }
     return false;
@@ -306,7 +307,7 @@
     }
   }
 
-  // Ends a message without an answer: it is not sent again.
+  // Ends a message without an answer. It is not sent again.
   void endMessage(Message& message) {
     if (message.ended) {
       return;
@@ -460,7 +461,7 @@
     recordOutcome(endpoint, result, elapsed, outcome.retry_after);
     const bool may_still_run =
         attempt.may_have_run && result != AttemptResult::ok && result != AttemptResult::error;
-    // The next message of the order key waits, so that it does not overtake this one.
+    // The order key pauses: its next message waits.
     if (may_still_run && !message->order_key.empty()) {
       Micros& paused_until = order_queues[message->order_key].paused_until;
       paused_until = std::max(paused_until, context.now + context.settings.ordering_pause);
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -29,8 +29,8 @@
 // A span in microseconds, or a tag, that is larger than any other: the start value of a search for a minimum.
 constexpr double kUnboundedMicros = 1e300;
 
-// A sender with a smaller share of a destination's traffic than this is one of many senders there: it makes
-// only a few of the calls.
+// A sender with a smaller share of a destination's traffic than this has low traffic there. There are many
+// senders if an even share is smaller than this; see DecisionContext::hasManySenders().
 constexpr double kLowTrafficShare = 0.05;
 
 // The value of Attempt::connection_idle_time for a new connection, and of Destination::lost_call_idle_time
@@ -74,8 +74,8 @@
   bool hasManySenders() const { return kLowTrafficShare * settings.sender_count > 1; }
 
   // Returns the present rate, in events a second. The average starts from 0, so it is corrected for the part
-  // of its span that has not been observed yet. With many senders it is not corrected: each of them sees only
-  // a few events, and these do not make a rate.
+  // of its span that has not been observed yet. With many senders it is not corrected, as each of them sees
+  // only a few events, and a few events do not make a rate.
   double ratePerSecond(const DecayedRate& rate) const {
     const Micros observed = std::max(now - rate.first_event_at, settings.overload_window + 1);
     return rate.rateAt(now, slow_start_seconds) /
@@ -131,7 +131,7 @@
   bool ejected = false;
   // The start of the slow start after the latest outage. kLongAgo: there was no outage.
   Micros warming_since = kLongAgo;
-  // The value of `warming_since` in the latest HealthRecord.
+  // The value of `warming_since` in the latest HealthRecord that was written or restored.
   Micros persisted_warming_since = kLongAgo;
   // Overdue calls in flight with no success since they were sent.
   int overdue_calls = 0;
