--- a/tests/decision/admission_control_test.cpp
+++ b/tests/decision/admission_control_test.cpp
@@ -29,10 +29,10 @@
 }
 
 // Busy senders queued four seconds of messages for their few slots, so that each message was delivered late.
-// While all of its slots are in use, one of many senders rejects messages that would be late, down to a
-// short queue. One of two senders queues them.
+// With many senders, a sender with all slots in use rejects messages that would be late, until its queue is
+// short. With two senders it queues them.
 // Incident: big-2 of debrecen-kelet-later.
-TEST(AdmissionControl, OneOfManySendersWithAllSlotsUsedRejectsLateMessages) {
+TEST(AdmissionControl, WithManySendersAndAllSlotsUsedLateMessagesAreRejected) {
   auto count_rejected = [](int sender_count, bool has_backlog) {
     Settings settings = makeSettings();
     settings.sender_count = sender_count;
@@ -93,9 +93,9 @@
   EXPECT_EQ(driver.actionsOfType<Reject>()[0].id.substr(0, 5), "older");
 }
 
-// With all of its slots in use, one of many senders rejects new messages that would be late, but keeps
+// With many senders, a sender with all slots in use rejects new messages that would be late, but keeps
 // accepted messages until most of their lifetime has passed.
-TEST(AdmissionControl, OneOfManySendersWithAllSlotsUsedKeepsAcceptedMessages) {
+TEST(AdmissionControl, WithManySendersAndAllSlotsUsedAcceptedMessagesAreKept) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
   settings.late_decay = LateDecay::halving;
--- a/tests/decision/connection_reuse_test.cpp
+++ b/tests/decision/connection_reuse_test.cpp
@@ -1,4 +1,4 @@
-// Connection reuse: which idle connections are closed because they may have died or are unlikely to be used
+// Connection reuse: which idle connections are closed because they may be stale or are unlikely to be used
 // again.
 #include "support/scheduler_fixture.h"
 
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Idle connections died unnoticed at every destination: each call on a reused connection was lost, and the
+// Idle connections became stale at every destination: each call on a reused connection was lost, and the
 // next call, on a new connection, was answered. After a few such pairs of calls, idle connections are closed
 // before a call.
 // Incident: i98b5a8.
-TEST(ConnectionReuse, IdleConnectionsThatDieSilentlyAreClosedBeforeTheNextCall) {
+TEST(ConnectionReuse, StaleIdleConnectionsAreClosedBeforeTheNextCall) {
   Settings settings = makeSettings();
   settings.connection_idle_timeout = 60 * kSecond;
   SchedulerDriver driver(settings);
@@ -51,11 +51,11 @@
   EXPECT_EQ(driver.actionsOfType<CloseIdleConnections>()[0].endpoint, "e6");
 }
 
-// Slow calls that were cancelled or timed out on recently used connections were taken as signs that idle
-// connections die, and all idle connections were closed before each call. Answers on connections that had
-// been idle as long or longer show that idling does not break connections.
+// Slow calls that were cancelled or timed out on recently used connections were taken as signs of stale
+// connections, and all idle connections were closed before each call. Answers on connections that had been
+// idle as long or longer show that idling does not make connections stale.
 // Incident: ticket5282.
-TEST(ConnectionReuse, LostCallsAreNoSignOfDeadConnectionsWhereLongerIdleOnesAreAnswered) {
+TEST(ConnectionReuse, LostCallsAreNoSignOfStaleConnectionsWhereLongerIdleOnesAreAnswered) {
   Settings settings = makeSettings();
   settings.connection_idle_timeout = 60 * kSecond;
   SchedulerDriver driver(settings);
@@ -95,12 +95,12 @@
   EXPECT_EQ(closed, 0u);
 }
 
-// Idle connections died unnoticed where each of many senders called an endpoint too rarely for both halves of
-// the sign, a lost call and an answered one, to occur there. A call that is lost on a reused connection to
-// one endpoint is also a sign if the next one, on a new connection to another endpoint of the destination, is
-// answered.
+// With many senders, each sender called an endpoint too rarely for both halves of a sign, a lost call and an
+// answered one, to occur there. Stale connections were not detected. A lost call on a reused connection to
+// one endpoint is therefore also a sign if the next call, on a new connection to another endpoint of the
+// destination, is answered.
 // Incident: i0e42b8.
-TEST(ConnectionReuse, SignsOfDeadIdleConnectionsAreMatchedByDestination) {
+TEST(ConnectionReuse, SignsOfStaleConnectionsAreMatchedByDestination) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
   settings.connection_idle_timeout = 60 * kSecond;
@@ -143,10 +143,10 @@
   EXPECT_EQ(driver.actionsOfType<CloseIdleConnections>().size(), 1u);
 }
 
-// 66% of the attempts got no connection, because each of 67 senders kept an idle one. A sender closes a
-// connection that it is unlikely to use again.
+// 66% of the attempts got no connection, because each of 67 senders kept an idle one. A sender
+// closes a connection that it is unlikely to use again.
 // Incident: quiet of gyor-nyugat-later.
-TEST(ConnectionReuse, OneOfManySendersClosesConnectionsWithoutExpectedReuse) {
+TEST(ConnectionReuse, WithManySendersConnectionsWithoutExpectedUsesAreClosed) {
   auto closed_connections = [](int sender_count, Micros interval) {
     Settings settings = makeSettings();
     settings.sender_count = sender_count;
@@ -172,7 +172,7 @@
 // connection tables. To all other senders that looked like an outage. After a connect failure no idle
 // connection to the endpoint is kept.
 // Incident: overload of budapest-kozpont-later.
-TEST(ConnectionReuse, OneOfManySendersKeepsNoIdleConnectionAfterAConnectFailure) {
+TEST(ConnectionReuse, WithManySendersNoIdleConnectionIsKeptAfterAConnectFailure) {
   auto keeps_connection_after_failure = [](int sender_count) {
     Settings settings = makeSettings();
     settings.sender_count = sender_count;
--- a/tests/decision/endpoint_directory_test.cpp
+++ b/tests/decision/endpoint_directory_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint directory: draining endpoints, failed subscriptions, and the first choice among listed
+// The endpoint directory: draining endpoints, failed polls, and the first choice among listed
 // endpoints.
 #include <map>
 
@@ -20,7 +20,7 @@
   EXPECT_EQ(driver.actionsOfType<Fail>().size() + driver.actionsOfType<Reject>().size(), 1u);
 }
 
-TEST(EndpointDirectory, FailedSubscriptionIsRepeatedAfterADelay) {
+TEST(EndpointDirectory, FailedPollIsRepeatedAfterADelay) {
   Settings settings = makeSettings();
   settings.discovery_mode = DiscoveryMode::poll;
   SchedulerDriver driver(settings);
@@ -28,12 +28,12 @@
   EXPECT_EQ(driver.actionsOfType<delivery::SubscribeEndpoints>().size(), 1u);
   driver.advanceTo(kSecond).decide({EndpointsChanged{EndpointUpdateKind::failed, {}}});
   EXPECT_TRUE(driver.actionsOfType<delivery::SubscribeEndpoints>().empty());
-  std::size_t subscriptions = 0;
+  std::size_t polls = 0;
   for (int i = 0; i < 100; ++i) {
     driver.advanceTo(kSecond + 50 * kMillisecond * (i + 1)).fireTimer();
-    subscriptions += driver.actionsOfType<delivery::SubscribeEndpoints>().size();
+    polls += driver.actionsOfType<delivery::SubscribeEndpoints>().size();
   }
-  EXPECT_EQ(subscriptions, 1u);
+  EXPECT_EQ(polls, 1u);
 }
 
 // All senders chose the endpoint that the list names first. Its connections ran out while the other
--- a/tests/decision/rate_limiter_test.cpp
+++ b/tests/decision/rate_limiter_test.cpp
@@ -148,15 +148,15 @@
 }
 
 // Rates were averaged from zero and so were too low in the first seconds. A throttled response then set a
-// learned limit far below the rate just served. That limit regained only a twentieth of a portion in each
-// overload window (FallMs): hundreds of messages were queued while most slots were free.
+// estimated limit far below the rate just served. That limit regained only a twentieth of the claimed share
+// in each overload window (FallMs): hundreds of messages were queued while most slots were free.
 // Incident: ticket4185.
-TEST(RateLimiter, LearnedLimitIsTheServedRateInTheFirstSeconds) {
+TEST(RateLimiter, EstimatedLimitIsTheServedRateInTheFirstSeconds) {
   EXPECT_LT(backlogAfterThrottling(2 * kSecond, 2 * kSecond + 100 * kMillisecond), 0.5);
 }
 
 // The same after a longer period of throttling.
-TEST(RateLimiter, LearnedLimitRecoversAfterManyThrottledCalls) {
+TEST(RateLimiter, EstimatedLimitRecoversAfterManyThrottledCalls) {
   EXPECT_LT(backlogAfterThrottling(15 * kSecond, 15 * kSecond + 900 * kMillisecond), 0.5);
 }
 
@@ -178,11 +178,11 @@
   EXPECT_LE(started, 16u);  // 4 calls a second for 3 s, and a burst of half a second
 }
 
-// The first attempts of senders with little traffic bypassed the pacing of a destination that these senders
+// The first attempts of senders with low traffic ignored the pacing of a destination that these senders
 // had seen fail. Together they overloaded the destination as it recovered. While a destination is ejected,
 // such attempts are paced, too.
 // Incident: fresh-big of budapest-kozpont-later.
-TEST(RateLimiter, FirstAttemptsOfOneOfManySendersArePacedWhileADestinationIsEjected) {
+TEST(RateLimiter, WithManySendersFirstAttemptsArePacedWhileADestinationIsEjected) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
   settings.weight_kind = WeightKind::nominal;
@@ -199,9 +199,9 @@
   EXPECT_LE(sent, 1u);  // one trial at most
 }
 
-// Calls that bypassed the pacing advanced its tags. The tags ran ahead until the pacing outlasted every
-// message, so that every call bypassed it.
-TEST(RateLimiter, CallsThatBypassThePacingDoNotAdvanceItsTag) {
+// Calls that ignored the pacing advanced its tags. The tags ran ahead until the pacing outlasted every
+// message, so that every call ignored it. A tag is now never more than one gap ahead of the present time.
+TEST(RateLimiter, CallsThatIgnoreThePacingKeepItsTagNearNow) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
   settings.weight_kind = WeightKind::nominal;
@@ -229,10 +229,10 @@
   EXPECT_LT(driver.now - submitted_at, 15 * kSecond);
 }
 
-// Messages with short deadlines were lost to a pacing that outlasted them. A first attempt bypasses such
+// Messages with short deadlines were lost to a pacing that outlasted them. A first attempt ignores such
 // pacing, as waiting could only lose the message.
 // Incident: rough-1 of debrecen-kelet-later.
-TEST(RateLimiter, FirstAttemptBypassesPacingThatWouldOutlastTheMessage) {
+TEST(RateLimiter, FirstAttemptIgnoresPacingThatWouldOutlastTheMessage) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
   settings.weight_kind = WeightKind::nominal;
@@ -276,10 +276,10 @@
 }
 
 // Each of many senders called a hanging destination three times before it treated the hang as an outage.
-// Together the retries overloaded the destination as it recovered. One of many senders paces its calls after
-// its first failure.
+// Together the retries overloaded the destination as it recovered. With many senders, each sender paces its
+// calls after its first failure.
 // Incident: hf6a5a4.
-TEST(RateLimiter, OneFailurePacesTheRetriesOfOneOfManySenders) {
+TEST(RateLimiter, WithManySendersOneFailurePacesTheRetries) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
   settings.weight_kind = WeightKind::nominal;
@@ -299,7 +299,7 @@
 // Each of many senders that had seen a hang retried at once, and together they overloaded the destination as
 // it recovered. The first trial is therefore spread over time as well.
 // Incident: h263b28.
-TEST(RateLimiter, FirstTrialOfOneOfManySendersIsDelayedAtRandom) {
+TEST(RateLimiter, WithManySendersTheFirstTrialIsDelayedAtRandom) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
   int immediate_trials = 0;
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -28,9 +28,10 @@
   EXPECT_EQ(sent, Ids{"p"});
 }
 
-// Retries of many messages displaced first attempts that could still be delivered in time.
+// Retries of many messages displaced first attempts that could still be delivered in time. With many senders
+// a retry therefore waits for the latency objective at least.
 // Incident: rough-2 of budapest-kozpont-later.
-TEST(RetryPolicy, OneOfManySendersWaitsALatencyObjectiveBeforeARetry) {
+TEST(RetryPolicy, WithManySendersARetryWaitsForALatencyObjective) {
   Settings settings = makeSettings();
   settings.sender_count = 200;
   SchedulerDriver driver(settings);
--- a/tests/decision/scheduler_property_test.cpp
+++ b/tests/decision/scheduler_property_test.cpp
@@ -90,7 +90,7 @@
       events.emplace_back(EndpointsChanged{EndpointUpdateKind::failed, {}});
     }
     if (randomBelow(50) == 0) {
-      events.emplace_back(AttemptOutcome{});  // of no known message
+      events.emplace_back(AttemptOutcome{});  // The outcome belongs to no known message.
     }
     if (!events.empty()) {
       decide(events);
@@ -263,7 +263,7 @@
     EXPECT_LE(slots, settings_.call_slots);
     for (auto& [id, message] : messages_) {
       if (!message.ended) {
-        // The host may have been suspended meanwhile.
+        // The bound allows for a suspension of the host, which takes 3 s in runStep().
         EXPECT_LE(now_, message.expires_at + settings_.answer_slack + 4 * kSecond) << id;
       }
     }
@@ -357,10 +357,13 @@
   std::vector<EndpointInfo> endpoints_;
   std::map<std::string, MessageState> messages_;
   std::map<std::pair<std::string, int>, Micros> attempt_times_out_at_;
-  // By endpoint, if it has a limit of its own, else by "d" and the number of the destination.
+  // The end of the latest Retry-After. The key is the id of the endpoint if it has its own route, else "d"
+  // and the number of the destination.
   std::map<std::string, Micros> retry_after_until_;
-  std::map<std::string, Micros> order_paused_until_;  // by order key
-  std::map<std::string, Micros> not_ready_since_;     // by endpoint; -1: ready
+  // The end of the pause of each order key.
+  std::map<std::string, Micros> order_paused_until_;
+  // For each endpoint the time since when it has not been ready. -1: it is ready.
+  std::map<std::string, Micros> not_ready_since_;
 };
 
 TEST(DeliverySchedulerProperty, RulesHoldForRandomEvents) {
--- a/tests/decision/scheduler_test.cpp
+++ b/tests/decision/scheduler_test.cpp
@@ -110,7 +110,7 @@
   driver.advanceTo(101 * kSecond).decide({ShutdownScheduled{101 * kSecond + 3 * kSecond}});
   EXPECT_EQ(1u, driver.submit("in_time", "non_idempotent", 1).size());
   driver.advanceTo(driver.now + 100 * kMillisecond).reportOutcome("in_time", 0, AttemptResult::ok);
-  // The time left is half of the time-out and many times the usual latency, so that the message is sent
+  // The time left is half of the time-out and many times the baseline latency, so that the message is sent
   // rather than left to the successor.
   driver.advanceTo(104 * kSecond - 900 * kMillisecond);
   EXPECT_EQ(1u, driver.submit("payment", "non_idempotent", 1).size());
--- a/tests/decision/state_recovery_test.cpp
+++ b/tests/decision/state_recovery_test.cpp
@@ -96,7 +96,7 @@
 }
 
 // Recovered messages without an attempt have been accepted. With one slot, more messages than max_messages
-// and a queue far longer than the short one that one of many senders keeps, none of them is rejected for lack
+// and a queue far longer than a sender keeps where there are many senders, none of them is rejected for lack
 // of capacity, and each is sent as a slot becomes free.
 TEST(MessageRecovery, RecoveredMessageWithoutAnAttemptIsSentEvenAtFullCapacity) {
   Settings settings = makeSettings();
--- a/tests/support/scheduler_fixture.h
+++ b/tests/support/scheduler_fixture.h
@@ -30,8 +30,7 @@
 
 // Valid settings with one class for each kind of idempotency, and destination kinds whose endpoints share a
 // limit, have limits of their own, or take up to three messages in a call.
-// Tests of one of many senders, which shares its destinations with many others, set a sender_count of 200 or
-// more.
+// Tests of the rules for many senders set a sender_count of 200 or more.
 inline Settings makeSettings() {
   Settings settings;
   settings.classes = {makeClass("idempotent", Idempotency::idempotent),
@@ -145,7 +144,7 @@
     return sent;
   }
 
-  // The actions of this type among those of the latest decision.
+  // Returns the actions of this type among those of the latest decision.
   template <class T>
   std::vector<T> actionsOfType() const {
     std::vector<T> found_actions;
@@ -160,9 +159,12 @@
   Settings settings;
   DeliveryScheduler scheduler;
   Micros now = 0;
-  std::vector<Action> actions;                       // of the latest decision
-  std::map<std::string, std::string> last_endpoint;  // by message id: the endpoint of its latest attempt
-  std::map<std::string, Micros> last_timeout;        // by message id: the time-out of its latest attempt
+  // The actions of the latest decision.
+  std::vector<Action> actions;
+  // The endpoint of the latest attempt of each message, by the message id.
+  std::map<std::string, std::string> last_endpoint;
+  // The time-out of the latest attempt of each message, by the message id.
+  std::map<std::string, Micros> last_timeout;
 };
 
 }  // namespace delivery
