--- a/src/common/events.h
+++ b/src/common/events.h
@@ -40,7 +40,7 @@
 struct Arrival {
   std::string id;
   std::string message_class;
-  // Empty: none.
+  // Empty: the message names no tenant.
   std::string tenant;
   // Empty: the message is sent independently of others.
   std::string order_key;
--- a/src/common/settings.h
+++ b/src/common/settings.h
@@ -44,7 +44,7 @@
   // The share of the priority weight that is left at the deadline.
   double late_weight_share = 0;
   Idempotency idempotency = Idempotency::idempotent;
-  // Used only for deduplicated messages, like the window.
+  // Used only for deduplicated messages, as is the window below.
   DeduplicationScope deduplication_scope = DeduplicationScope::all;
   // For this long after an attempt was sent, a repeat of it is recognized and dropped.
   Micros deduplication_window = 0;
@@ -66,7 +66,7 @@
   std::string name;
   // Each endpoint has its own limit, Retry-After and outages.
   bool independent_routes = false;
-  // The most messages that one call may carry.
+  // The largest number of messages that one call may carry.
   int messages_per_call = 1;
 };
 
@@ -83,11 +83,11 @@
   DiscoveryMode discovery_mode = DiscoveryMode::push;
   // The number of senders that share the destinations, this one included.
   int sender_count = 1;
-  // The most calls in flight at once.
+  // The largest number of calls in flight at once.
   int call_slots = 1;
-  // The most messages that are accepted and have not ended, queued or in flight.
+  // The largest number of messages that are accepted and have not ended, queued or in flight.
   int max_messages = 1;
-  // The most attempts of one message, those of earlier processes included.
+  // The largest number of attempts of one message, those of earlier processes included.
   int max_attempts = 1;
   // Calls in flight may be cancelled.
   bool may_cancel = false;
--- a/src/decision/fair_queue.h
+++ b/src/decision/fair_queue.h
@@ -92,8 +92,8 @@
     }
   }
 
-  // Removes a message that is about to be sent, with the first tag. What is sent in the global phase does not
-  // count against the reservation, so the remaining local tags move back by one period.
+  // Removes a message that is about to be sent, with the first tag. A message sent in the global phase does
+  // not count against the reservation, so the remaining local tags move back by one period.
   void removeForSending(Message& message, bool in_global_phase) {
     Destination& destination = *message.destination;
     eraseMessage(message);
@@ -116,8 +116,8 @@
     destination.last_tag.global -= globalTagStep(destination);
   }
 
-  // Returns the destinations in the order in which they may use a free call slot. Those are left out from
-  // which nothing could be sent in this round.
+  // Returns the destinations in the order in which they may use a free call slot. Destinations that
+  // could send nothing in this round are left out.
   std::multimap<QueuePosition, Destination*> candidates() const {
     std::multimap<QueuePosition, Destination*> ordered;
     const auto is_untried = [](const Message* message) { return message->isUntriedAfterRestart(); };
--- a/src/decision/outlier_detection.h
+++ b/src/decision/outlier_detection.h
@@ -69,7 +69,7 @@
   }
 
   // Returns the latency of the endpoint over the long term, in microseconds. Without samples of the endpoint
-  // this is that of its destination, or of all calls, or a guess.
+  // this is the baseline of its destination, else the mean latency of all calls, else a default.
   double baselineLatency(const Endpoint& endpoint) const {
     const HealthStats& shared_health = endpoint.destination->shared_scope.health;
     if (endpoint.own_scope.health.latency_samples > 0) {
@@ -78,7 +78,7 @@
     if (shared_health.latency_samples > 0) {
       return shared_health.baseline_latency;
     }
-    // The guess makes the time-out of a call equal to the shortest latency objective.
+    // The default makes the time-out of a call equal to the shortest latency objective.
     return answered_calls > 0 ? mean_latency : context.shortest_latency_objective / kTimeoutRatio;
   }
 
@@ -151,8 +151,8 @@
     mean_latency += (latency - mean_latency) / answered_calls;
   }
 
-  // Records a latency in microseconds. That of a call without an answer counts only as a recent latency, and
-  // only if it is longer than the recent ones: a quick failure says nothing about the latency.
+  // Records a latency in microseconds. The latency of a call without an answer counts only as a recent one,
+  // and only if it is longer than the recent ones: a quick failure says nothing about the latency.
   void recordLatency(HealthStats& health, double latency, bool answered) const {
     if (health.latency_samples == 0 && !answered) {
       return;
--- a/src/decision/rate_limiter.h
+++ b/src/decision/rate_limiter.h
@@ -37,7 +37,8 @@
 // The longest gap after consecutive throttled calls, in ordinary gaps.
 constexpr double kMaxThrottledGaps = 4;
 
-// The longest gap between trial calls to an ejected scope, in overload windows.
+// The longest gap between trial calls to an ejected scope, in overload windows, unless the ordinary gap is
+// longer.
 constexpr double kMaxTrialGapWindows = 0.25;
 
 // Where no limit is known, a sender with fewer messages than this in the slow start time has low traffic.
@@ -122,8 +123,8 @@
   }
 
   // Returns when the next call to the endpoint may be sent. `message` is the message that it would carry;
-  // null: any. With many senders and low traffic, the first attempt of a message ignores pacing that would
-  // outlast its deadline, as the message would only be lost by it, unless the scope is ejected.
+  // null: any message. With many senders and low traffic, the first attempt of a message ignores pacing that
+  // would outlast its deadline, as the message would only be lost by it, unless the scope is ejected.
   Micros nextCallAt(Endpoint& endpoint, const Message* message) const {
     const Destination& destination = *endpoint.destination;
     const double limit = endpoint.governingScope().rate.limit;
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -63,7 +63,7 @@
     }
   }
 
-  // Asks for a round at `moment` or earlier. Without effect if `moment` is not in the future.
+  // Asks for a round at `moment` or earlier. Has no effect if `moment` is not in the future.
   void wakeAt(Micros moment) {
     if (moment > now) {
       next_wakeup = std::min(next_wakeup, moment);
@@ -149,7 +149,7 @@
 struct Endpoint {
   // The entry of the list that named the endpoint last.
   EndpointInfo info;
-  // Not null once the endpoint is in the directory; the kind likewise.
+  // This and the kind are not null once the endpoint is in the directory.
   Destination* destination = nullptr;
   const DestinationKind* kind = nullptr;
   int calls_in_flight = 0;
@@ -194,8 +194,8 @@
   std::vector<Endpoint*> endpoints;
   // The messages that are neither in flight nor ended.
   std::vector<Message*> queued_messages;
-  // One for each queued message, ascending. They belong to the queue and not to a certain message: the
-  // message that is sent next takes the first tag.
+  // One tag for each queued message, in ascending order. Tags belong to the queue and not to a certain
+  // message: the message that is sent next takes the first tag.
   std::deque<Tag> tags;
   // The tag that was assigned last.
   Tag last_tag{kUnassignedTag, kUnassignedTag};
@@ -262,7 +262,7 @@
   Micros latency_objective = 0;
   // Ascending in the order of arrival.
   std::uint64_t sequence_number = 0;
-  // By attempt number, those of earlier processes included.
+  // The attempts in the order of their numbers, those of earlier processes included.
   std::vector<Attempt> attempts;
   // The message is in Destination::queued_messages.
   bool queued = false;
@@ -276,7 +276,8 @@
     return std::any_of(attempts.begin(), attempts.end(), [](auto& attempt) { return attempt.may_have_run; });
   }
 
-  // Such messages are sent first and are not shed, as they were accepted.
+  // Whether the message was accepted before a restart and has not been attempted. Such messages are sent
+  // first and are not shed, as they were accepted.
   bool isUntriedAfterRestart() const { return accepted_before_restart && attempts.empty(); }
 };
 
