--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -29,8 +29,8 @@
 // A span in microseconds, or a tag, that is larger than any other: the start value of a search for a minimum.
 constexpr double kUnboundedMicros = 1e300;
 
-// A sender with a smaller share of a destination's traffic than this is one of many senders there: it makes
-// only a few of the calls.
+// A sender with a smaller share of a destination's traffic than this has low traffic there. There are many
+// senders if an even share is smaller than this; see DecisionContext::hasManySenders().
 constexpr double kLowTrafficShare = 0.05;
 
 // The value of Attempt::connection_idle_time for a new connection, and of Destination::lost_call_idle_time
@@ -63,7 +63,7 @@
     }
   }
 
-  // Asks for a round at `moment` or earlier. Without effect if `moment` is not in the future.
+  // Asks for a round at `moment` or earlier. Has no effect if `moment` is not in the future.
   void wakeAt(Micros moment) {
     if (moment > now) {
       next_wakeup = std::min(next_wakeup, moment);
@@ -74,8 +74,8 @@
   bool hasManySenders() const { return kLowTrafficShare * settings.sender_count > 1; }
 
   // Returns the present rate, in events a second. The average starts from 0, so it is corrected for the part
-  // of its span that has not been observed yet. With many senders it is not corrected: each of them sees only
-  // a few events, and these do not make a rate.
+  // of its span that has not been observed yet. With many senders it is not corrected, as each of them sees
+  // only a few events, and a few events do not make a rate.
   double ratePerSecond(const DecayedRate& rate) const {
     const Micros observed = std::max(now - rate.first_event_at, settings.overload_window + 1);
     return rate.rateAt(now, slow_start_seconds) /
@@ -131,7 +131,7 @@
   bool ejected = false;
   // The start of the slow start after the latest outage. kLongAgo: there was no outage.
   Micros warming_since = kLongAgo;
-  // The value of `warming_since` in the latest HealthRecord.
+  // The value of `warming_since` in the latest HealthRecord that was written or restored.
   Micros persisted_warming_since = kLongAgo;
   // Overdue calls in flight with no success since they were sent.
   int overdue_calls = 0;
@@ -149,7 +149,7 @@
 struct Endpoint {
   // The entry of the list that named the endpoint last.
   EndpointInfo info;
-  // Not null once the endpoint is in the directory; the kind likewise.
+  // This and the kind are not null once the endpoint is in the directory.
   Destination* destination = nullptr;
   const DestinationKind* kind = nullptr;
   int calls_in_flight = 0;
@@ -194,8 +194,8 @@
   std::vector<Endpoint*> endpoints;
   // The messages that are neither in flight nor ended.
   std::vector<Message*> queued_messages;
-  // One for each queued message, ascending. They belong to the queue and not to a certain message: the
-  // message that is sent next takes the first tag.
+  // One tag for each queued message, in ascending order. Tags belong to the queue and not to a certain
+  // message: the message that is sent next takes the first tag.
   std::deque<Tag> tags;
   // The tag that was assigned last.
   Tag last_tag{kUnassignedTag, kUnassignedTag};
@@ -262,7 +262,7 @@
   Micros latency_objective = 0;
   // Ascending in the order of arrival.
   std::uint64_t sequence_number = 0;
-  // By attempt number, those of earlier processes included.
+  // The attempts in the order of their numbers, those of earlier processes included.
   std::vector<Attempt> attempts;
   // The message is in Destination::queued_messages.
   bool queued = false;
@@ -276,7 +276,8 @@
     return std::any_of(attempts.begin(), attempts.end(), [](auto& attempt) { return attempt.may_have_run; });
   }
 
-  // Such messages are sent first and are not shed, as they were accepted.
+  // Whether the message was accepted before a restart and has not been attempted. Such messages are sent
+  // first and are not shed, as they were accepted.
   bool isUntriedAfterRestart() const { return accepted_before_restart && attempts.empty(); }
 };
 
