--- a/src/storage/journal.h
+++ b/src/storage/journal.h
@@ -64,9 +64,10 @@
   void recordAttempt(const std::string& message_id, const JournaledAttempt& attempt);
   // The endpoint certainly did not process this attempt. Index 0 is the first attempt of the message.
   void recordNeverRan(const std::string& message_id, std::size_t attempt_index);
-  // The message has ended without delivery, and its client has yet to confirm the notice of that.
+  // The message has ended without delivery, and the platform has yet to acknowledge the notice of that.
   void recordNoticePending(const std::string& message_id, const CompletionNotice& notice);
-  // The message was delivered or withdrawn, or its client has confirmed the notice.
+  // The message was delivered, or the endpoint responded that it is gone (410), or it was rejected because
+  // its acceptance could not be persisted, or the platform has acknowledged its notice.
   void recordCompleted(const std::string& message_id);
   void recordEndpointList(const std::string& list);  // discovery's answer, in JSON
   void recordHealth(const HealthRecord& health);
--- a/src/storage/journal_state.h
+++ b/src/storage/journal_state.h
@@ -14,11 +14,11 @@
 
 namespace delivery {
 
-// An open message: it is not delivered yet, or its client has not confirmed the notice yet.
+// An open message: its delivery has not ended yet, or the platform has not acknowledged its notice yet.
 struct JournaledMessage {
   SubmittedMessage message;
   std::vector<JournaledAttempt> attempts;
-  bool notice_pending = false;  // delivery has ended without success, and the client has to get `notice`
+  bool notice_pending = false;  // delivery has ended without success, and `notice` is not acknowledged yet
   CompletionNotice notice;
   std::uint64_t acceptance_order = 0;  // ascending in the order in which the messages were accepted
 };
--- a/src/storage/record_codec.h
+++ b/src/storage/record_codec.h
@@ -53,12 +53,13 @@
   std::string message_id;
   std::size_t attempt_index = 0;  // 0 is the first attempt of the message
 };
-// The message ended without delivery, and its client has yet to confirm the notice.
+// The message ended without delivery, and the platform has yet to acknowledge the notice.
 struct NoticePendingRecord {
   std::string message_id;
   CompletionNotice notice;
 };
-// The message was delivered or withdrawn, or its notice was confirmed. It is no longer open.
+// The message was delivered, or the endpoint responded that it is gone (410), or it was rejected because its
+// acceptance could not be persisted, or the platform acknowledged its notice. It is no longer open.
 struct CompletedRecord {
   std::string message_id;
 };
--- a/src/storage/submitted_message.h
+++ b/src/storage/submitted_message.h
@@ -30,10 +30,10 @@
   bool never_ran = false;  // the endpoint certainly did not process the message
 };
 
-// Tells the client that an accepted message ended without delivery.
+// Tells the platform that an accepted message ended without delivery.
 struct CompletionNotice {
-  bool returned = false;            // true: returned to the client; false: abandoned
-  std::int64_t retry_after_ms = 0;  // when the client may submit it again, in milliseconds; 0 if not stated
+  bool returned = false;            // true: rejected after acceptance; false: abandoned
+  std::int64_t retry_after_ms = 0;  // delay before a new submission, in milliseconds; 0 if not stated
 };
 
 }  // namespace delivery
