--- a/src/network/client_admission.h
+++ b/src/network/client_admission.h
@@ -49,8 +49,8 @@
   // `has_submitted`: the request submitted a message that was accepted or rejected as busy, not in error.
   void onReplyStarted(ConnectionId id, bool has_submitted, Micros now);
   AfterReply onReplyWritten(ConnectionId id, bool has_more_input, Micros now);
-  // The request violates the protocol. Input of the connection is discarded from now on, until the peer
-  // closes it or the deadline for the error reply has passed.
+  // The request violates the protocol. Input of the connection is discarded from now on, and the connection
+  // is closed when the deadline for the error reply has passed, if not earlier.
   void onRequestMalformed(ConnectionId id, Micros now);
   void onClosed(ConnectionId id);
 
--- a/src/network/client_server.cpp
+++ b/src/network/client_server.cpp
@@ -22,7 +22,7 @@
 // A peer that sends this many bytes after a malformed request is disconnected at once.
 constexpr std::size_t kMaxDiscardedBytes = 1u << 20;
 constexpr std::chrono::milliseconds kCapacityCheckInterval{20};
-// How many candidates in a row are examined until one without unread input is found.
+// At most this many candidates in a row are examined to find one without unread input.
 constexpr int kMaxEvictionAttempts = 16;
 // When the server starts, connections may have waited in the accept queue for any length of time.
 constexpr Micros kDistantPast = INT64_MIN / 4;
--- a/src/network/client_server.h
+++ b/src/network/client_server.h
@@ -33,9 +33,9 @@
   ClientServer(const ClientServer&) = delete;
   ClientServer& operator=(const ClientServer&) = delete;
 
-  // From now on PING is answered with an error. Connections that are between two requests are closed now.
-  // Connections with a partial or open request, and those that are accepted later, are closed once their
-  // request is answered.
+  // PING is answered with an error until stopDraining() is called. Connections that are between two requests
+  // are closed now, unless they have unread input. Connections with a partial or open request, those that
+  // were just accepted and those that are accepted later are closed once their request is answered.
   void startDraining();
   void stopDraining() { admission_.stopDraining(); }
   // New connections wait in the kernel's accept queue until resumeAccepting() is called.
--- a/src/network/descriptor_budget.cpp
+++ b/src/network/descriptor_budget.cpp
@@ -60,7 +60,7 @@
   const std::int64_t capacity = sharedCapacity(limits);
   DescriptorBudget budget;
   budget.max_pooled_bytes = bufferPoolBytes(limits);
-  // Idle connections have a share of their own, so that many clients can't use up all descriptors.
+  // Idle connections have a share of their own, which clients can't use up, however many connect.
   budget.max_idle_connections = capacity / kIdleConnectionsDivisor;
   budget.max_endpoint_connections = limits.call_slots + budget.max_idle_connections;
   // The predecessor uses the descriptors that are reserved for a successor. It needs more, as it has calls in
--- a/src/network/endpoint_pool.h
+++ b/src/network/endpoint_pool.h
@@ -44,8 +44,8 @@
   void setEndpoint(const std::string& endpoint, const std::string& address, bool has_own_route = false);
   // All endpoints that were ever added.
   std::vector<std::string> knownEndpoints() const;
-  // Starts a call, or queues it until a connection is available. The call ends at `deadline` at the latest;
-  // connecting counts towards that.
+  // Starts a call, or queues it until a connection is available. No response is awaited after `deadline`;
+  // queueing and connecting count towards that.
   void startCall(const SubmittedMessage& message, int attempt, const std::string& endpoint,
                  Deadline deadline);
   // Ends a call now. A response that has already arrived still counts. Returns false if this pool has no such
--- a/src/network/http_connection.cpp
+++ b/src/network/http_connection.cpp
@@ -133,7 +133,7 @@
   // Prepares the parser for the next response head.
   void expectResponse() {
     parser_.emplace();
-    parser_->get().result(0u);  // no status yet, because Beast's default is 200
+    parser_->get().result(0u);  // no status is known yet; Beast's default is 200
     parser_->body_limit(max_body_bytes_);
     parser_->header_limit(kMaxHeadBytes);
   }
