--- a/src/process/configuration.h
+++ b/src/process/configuration.h
@@ -42,7 +42,8 @@
   // hold a JSON object.
   static ConfigurationFile load();
 
-  // Each of these throws InvalidInput that names the field if a value is missing or invalid.
+  // Each of these throws InvalidInput that names the field if a value is invalid or a required one is
+  // missing.
   std::string discovery() const;
   std::int64_t sockets() const;
   std::int64_t memoryBytes() const;
--- a/src/process/exit_condition.h
+++ b/src/process/exit_condition.h
@@ -15,7 +15,7 @@
 enum class OwnershipState {
   waiting,       // another process owns it, or this process is about to lock it
   active,        // this process owns it and serves clients
-  handing_over,  // this process owns it and finishes the last requests before a successor takes over
+  handing_over,  // this process owns it, accepts no more clients and finishes their requests for a successor
   released,      // a successor may lock it, or has locked it; this process completes its calls
 };
 
--- a/src/process/handover_successor.h
+++ b/src/process/handover_successor.h
@@ -22,7 +22,7 @@
     std::function<void()> on_released;
     // A call of the predecessor ended, or the head of its response had a Retry-After.
     std::function<void(AttemptOutcome)> on_outcome;
-    // The connection ended. `lost_calls` were in flight; their outcomes will never be known.
+    // The connection ended. `lost_calls` were in flight; this process gets no outcomes for them any more.
     std::function<void(const std::set<CallId>& lost_calls)> on_predecessor_lost;
   };
 
