--- a/src/common/actions.h
+++ b/src/common/actions.h
@@ -26,7 +26,7 @@
   Micros retry_after = 0;
 };
 
-// Answers for good that a message failed. It may have run.
+// Ends a message for good as failed. It may have run.
 struct Fail {
   std::string id;
 };
--- a/src/common/events.h
+++ b/src/common/events.h
@@ -80,7 +80,8 @@
   std::int64_t destination = 0;
   // The scope serves nothing and gets only single trial calls.
   bool ejected = false;
-  // The start of the slow start after the latest outage. Far in the past if there was none.
+  // The start of the slow start after the latest outage. Far in the past if there was no outage, or only a
+  // minor one that needed no slow start.
   Micros warming_since = 0;
   // No call may be sent before this moment.
   Micros retry_after_until = 0;
@@ -92,7 +93,9 @@
   Micros at = 0;
 };
 
-// The client no longer waits for this message: it needs neither an answer nor further attempts.
+// The message ends without an answer of the decision module and without further attempts. In the simulator
+// its client no longer waits. In a sender process its acceptance could not be persisted, and the process
+// itself replies to the client that it is busy.
 struct Abandoned {
   std::string id;
 };
--- a/src/common/settings.h
+++ b/src/common/settings.h
@@ -21,7 +21,7 @@
 enum class DeduplicationScope { all, zone, cell };
 
 // How the value of a message falls after its latency objective: linearly until the deadline, or by half for
-// each further objective.
+// each further objective, but not below late_weight_share. From the deadline on the value is 0.
 enum class LateDecay { linear, halving };
 
 // What EndpointInfo::weight says: nothing, the destination's limit, or an approximation of the limit.
@@ -35,13 +35,16 @@
   std::string name;
   // A message that is delivered within this span of its submission has its full value.
   Micros latency_objective = 0;
-  // The span from the submission of a message to its deadline, at which it is abandoned.
+  // The span from the submission of a message to the end of its value. The message is abandoned shortly
+  // before the deadline in its Arrival; its time of submission is taken to be at the latest this span before
+  // that deadline.
   Micros deadline = 0;
   // The latency objective of a message is extended by this factor times its work estimate.
   double work_estimate_factor = 0;
   // The value of a message that is delivered within its latency objective.
   double priority_weight = 1;
-  // The share of the priority weight that is left at the deadline.
+  // The share of the priority weight that is left just before the deadline. With LateDecay::halving it is the
+  // smallest share before the deadline.
   double late_weight_share = 0;
   Idempotency idempotency = Idempotency::idempotent;
   // Used only for deduplicated messages, as is the window below.
@@ -75,7 +78,8 @@
   std::vector<MessageClass> classes;
   std::vector<Tenant> tenants;
   std::vector<DestinationKind> destination_kinds;
-  // The cost of a call into each zone, in the order of `zones`. A zone without an entry costs 0.
+  // The cost of a call into each zone, in the order of `zones`. A zone without an entry costs 0. It counts
+  // only for endpoints with their own route.
   std::vector<double> zone_cost;
   std::vector<std::string> zones;
   LateDecay late_decay = LateDecay::linear;
@@ -111,7 +115,8 @@
   // How long an order key pauses after an attempt that may still run.
   Micros ordering_pause = 0;
   Micros connect_timeout = 0;
-  // A connection that has been idle for this long is no longer used.
+  // Endpoints close a connection that has been idle for this long, so it is no longer used then, or shortly
+  // before. 0: they do not close it.
   Micros connection_idle_timeout = 0;
   // The longest pause that a client honours.
   Micros max_retry_after = 0;
--- a/src/protocol/handover_messages.h
+++ b/src/protocol/handover_messages.h
@@ -41,8 +41,8 @@
   std::string endpoint;
 };
 
-// The successor has received a Retry-After. The predecessor must not send the destination requests that are
-// not written yet.
+// The successor has received a Retry-After. The predecessor must not send requests that are not written yet
+// to the endpoint if it has its own route, otherwise to the destination.
 struct RetryAfterNotice {
   std::string endpoint;
   std::int64_t destination = 0;
@@ -58,8 +58,8 @@
 
 // Decode one line. A line may hold several messages: they are read in the order of the variant's
 // alternatives, and `on_message` is called for each before the next one is read. Unknown keys and lines that
-// are not JSON objects are ignored, so that later versions may add messages. Throw an InvalidInput that names
-// the field if a known message can't be read.
+// are not JSON objects are ignored, so that later versions may add messages. Throw InvalidInput if
+// a known message can't be read. It names the field, except for a malformed [message id, attempt number].
 void decodePredecessorLine(const std::string& line,
                            const std::function<void(const PredecessorMessage&)>& on_message);
 void decodeSuccessorLine(const std::string& line,
--- a/src/protocol/http_message.h
+++ b/src/protocol/http_message.h
@@ -22,9 +22,10 @@
 // How far an exchange of request and response got.
 enum class ExchangeStatus {
   answered,     // a status line was received
-  not_written,  // there was no connection, or it broke before the last byte of the request was written
-  broken,       // after the last byte was written, the connection broke or the peer sent invalid HTTP
-  timed_out     // the request was written, and no response was received in time
+  not_written,  // there was no connection, or it broke or the time ran out before the last byte of the
+                // request was written
+  broken,    // after the last byte was written, the connection broke or the peer sent invalid HTTP
+  timed_out  // the request was written, and no response was received in time
 };
 
 // The result of an exchange. Status, body and fields are set only if `completion` is `answered`.
@@ -32,8 +33,8 @@
   ExchangeStatus completion = ExchangeStatus::not_written;
   int status = 0;
   bool body_complete = false;
-  // Set together with not_written: the peer had closed the reused connection. No byte of the request was
-  // written, so the request can be sent on a new connection.
+  // Set together with not_written: the peer had closed the reused connection or had sent bytes without a
+  // request. No byte of the request was written, so the request can be sent on a new connection.
   bool stale_connection = false;
   std::string body;
   HttpFields fields;  // names in lower case
--- a/src/protocol/message_request.h
+++ b/src/protocol/message_request.h
@@ -29,7 +29,7 @@
 const char* errorReply(RequestError error);
 
 // SubmittedMessage stands for MSG.PUT. Its deadline is not set, because the time to live counts from the
-// moment at which the client sent the request.
+// earliest moment at which the client can have sent the request.
 using ClientRequest = std::variant<PingRequest, SubmittedMessage, RequestError>;
 
 // Parses the arguments of one RESP request. `arguments` holds at least the command.
--- a/src/protocol/submit_reply.h
+++ b/src/protocol/submit_reply.h
@@ -13,7 +13,7 @@
   busy,                 // rejected without effect; the client may submit it again
   failed,               // abandoned; it may have had an effect
   unknown_class,        // the settings have no message class of this name
-  unknown_destination,  // discovery lists no endpoint of the destination
+  unknown_destination,  // discovery has listed no endpoint of the destination so far
   duplicate             // a message with this id was submitted and its reply is still pending
 };
 
