--- a/src/protocol/http_message.h
+++ b/src/protocol/http_message.h
@@ -24,8 +24,8 @@
   answered,     // a status line was received
   not_written,  // there was no connection, or it broke or the time ran out before the last byte of the
                 // request was written
-  broken,    // after the last byte was written, the connection broke or the peer sent invalid HTTP
-  timed_out  // the request was written, and no response was received in time
+  broken,       // after the last byte was written, the connection broke or the peer sent invalid HTTP
+  timed_out     // the request was written, and no response was received in time
 };
 
 // The result of an exchange. Status, body and fields are set only if `completion` is `answered`.
